--- a/tests/admission/fleet_sim.py
+++ b/tests/admission/fleet_sim.py
@@ -1,9 +1,9 @@
-"""Fleets whose engines only read, and a plain load on them."""
+"""Simulated fleets whose engines only read prompts, and random load on them."""
 
 import random
 
 from turmerictray.core.ids import TeamId
-from turmerictray.routing.prompt import Part, PartId, Prompt
+from turmerictray.routing.prompt import PartId, Prompt, PromptPart
 from turmerictray.simulation.engine import SerialEngine
 from turmerictray.simulation.fleet import Caller, Fleet
 
@@ -13,7 +13,7 @@
 
 
 def reading_fleet(routers: int, engines: int) -> Fleet:
-    """A fleet of engines that read prompts one after the other in order of arrival."""
+    """Return a fleet of engines that read prompts one at a time in order of arrival."""
 
     def make(timeline) -> SerialEngine:
         return SerialEngine(timeline, _READ_PER_S, _MEMORY_TOKENS)
@@ -22,29 +22,29 @@
 
 
 class LossyEngine(SerialEngine):
-    """A reading engine of which some answers never come, by the order of its requests."""
+    """Engine that never answers every ``lost_one_in``-th request."""
 
     lost_one_in = 50
 
     def __init__(self, timeline) -> None:
         super().__init__(timeline, _READ_PER_S, _MEMORY_TOKENS)
-        self._taken = 0
+        self._received = 0
 
     def submit(self, run) -> None:
-        self._taken += 1
-        if self._taken % self.lost_one_in == 0:
+        self._received += 1
+        if self._received % self.lost_one_in == 0:
             run.on_first = run.on_done = lambda: None
         super().submit(run)
 
 
 def in_time(fleet: Fleet, since: float = 0.0) -> float:
-    """Share of requests whose first event came within the objective."""
-    asked = [caller for caller in fleet.callers if caller.arrived >= since]
-    return sum(caller.in_time for caller in asked) / max(len(asked), 1)
+    """Return the fraction of requests whose first event came within the latency objective."""
+    callers = [caller for caller in fleet.callers if caller.arrived >= since]
+    return sum(caller.in_time for caller in callers) / max(len(callers), 1)
 
 
 def read_tokens(fleet: Fleet) -> int:
-    """Tokens that all engines have read."""
+    """Return the number of tokens that all engines have read."""
     return sum(engine.read_tokens for engine in fleet.engines.values())
 
 
@@ -58,14 +58,32 @@
     router=None,
     since: float = 0.0,
 ) -> None:
-    """Schedule requests at random times, each on one of ``subjects`` shared parts."""
+    """Schedule requests at random times, each with one of ``subjects`` shared prompt parts.
+
+    Parameters
+    ----------
+    fleet : Fleet
+    per_s : float
+        Mean number of requests per second.
+    seconds : float
+        Virtual time at which the load ends.
+    seed : int
+    subjects : int
+        Number of different shared prompt parts.
+    team : callable
+        Returns the team of a request, given the random number generator.
+    router : callable or None
+        Returns the index of the router for a team; None for random routers.
+    since : float
+        Virtual time at which the load begins.
+    """
     rng = random.Random(seed)
     when = since
     while (when := when + rng.expovariate(per_s)) < seconds:
         subject = rng.randrange(subjects)
-        shared = Part(PartId(f"s{subject}"), 8_000 + 100 * (subject % 90))
-        own = Part(PartId(f"o{when}"), int(min(20_000, rng.lognormvariate(7.8, 0.9))))
-        prompt = Prompt((shared, own), shared.tokens + own.tokens, 100)
+        shared = PromptPart(PartId(f"s{subject}"), 8_000 + 100 * (subject % 90))
+        unshared = PromptPart(PartId(f"o{when}"), int(min(20_000, rng.lognormvariate(7.8, 0.9))))
+        prompt = Prompt((shared, unshared), shared.tokens + unshared.tokens, 100)
         name = team(rng)
         at = rng.randrange(len(fleet.pools)) if router is None else router(name)
         fleet.timeline.at(when, fleet.ask, at, Caller(name, when, prompt, OBJECTIVE_S))
--- a/tests/admission/test_budget.py
+++ b/tests/admission/test_budget.py
@@ -1,4 +1,4 @@
-"""The fleet's budget of repeats holds in every window, whatever the routers do."""
+"""Tests that the fleet stays within its retry budget in every window."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -11,28 +11,28 @@
 
 
 @given(st.lists(arrivals, min_size=1, max_size=4))
-def test_repeats_of_all_routers_stay_within_the_budget_of_each_window(routers):
+def test_retries_of_all_routers_stay_within_the_budget_of_each_window(routers):
     requests: list[float] = []
-    repeats: list[float] = []
+    retries: list[float] = []
     for events in routers:
         budget = RetryBudget(RATIO, FLOOR, WINDOW_S)
-        budget.routers = len(routers)
+        budget.router_count = len(routers)
         now = 0.0
         for gap, is_request in events:
             now += gap
             if is_request:
                 budget.note_request(now)
                 requests.append(now)
-            elif budget.take(now):
-                repeats.append(now)
-    for end in repeats:
-        spent = sum(end - WINDOW_S < at <= end for at in repeats)
+            elif budget.try_spend(now):
+                retries.append(now)
+    for end in retries:
+        spent = sum(end - WINDOW_S < at <= end for at in retries)
         allowed = RATIO * sum(end - WINDOW_S <= at <= end for at in requests) + FLOOR
         assert spent <= allowed
 
 
-def test_repeats_are_allowed_again_after_a_window():
+def test_retries_are_allowed_again_after_a_window():
     budget = RetryBudget(0.0, 10.0, WINDOW_S)
-    assert sum(budget.take(0.0) for _ in range(20)) == 8
-    assert not budget.take(9.9)
-    assert budget.take(10.1)
+    assert sum(budget.try_spend(0.0) for _ in range(20)) == 8
+    assert not budget.try_spend(9.9)
+    assert budget.try_spend(10.1)
--- a/tests/admission/test_burst_after_calm.py
+++ b/tests/admission/test_burst_after_calm.py
@@ -1,4 +1,4 @@
-"""A team that had the engines nearly alone, and a burst of all teams after it."""
+"""Simulation of one team using the engines almost alone, followed by a burst of all teams."""
 
 from collections import Counter
 
@@ -11,12 +11,13 @@
 ENGINES = 9
 CALM_S, END_S, WINDOW_S = 10.0, 18.0, 6.0
 HOT = TeamId("hot")
-LEAST_PART = 0.5
-"""Of what the best served other team gets while both wait; all teams weigh the same."""
+MIN_FRACTION = 0.5
+"""Minimum service of the hot team, as a fraction of the best served other team while both wait. All
+teams have the same weight."""
 
 
-def begun(fleet: Fleet, since: float) -> Counter:
-    """Tokens of the requests whose first event came in the window, by team."""
+def started_tokens(fleet: Fleet, since: float) -> Counter:
+    """Return the tokens of requests whose first event came in the window, by team."""
     tokens = Counter()
     for caller in fleet.callers:
         if caller.first_at is not None and since <= caller.first_at < since + WINDOW_S:
@@ -25,8 +26,8 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_team_does_not_pay_for_what_nobody_else_wanted(seed):
-    """Guards against a debt for service that nobody else wanted at the time."""
+def test_a_team_is_not_charged_for_uncontended_service(seed):
+    """Guards against charging a team for service that it received while no other team waited."""
     fleet = reading_fleet(1, ENGINES)
     play_prompts(fleet, 50, CALM_S, seed, team=lambda rng: HOT)
     play_prompts(fleet, 8, CALM_S, seed + 10, team=lambda rng: TeamId(f"t{rng.randrange(8)}"))
@@ -34,6 +35,6 @@
         play_prompts(fleet, per_s, END_S, seed + per_s, team=name, since=CALM_S)
     fleet.run(END_S + 2)
     for since in (CALM_S, CALM_S + 1, CALM_S + 2):
-        tokens = begun(fleet, since)
+        tokens = started_tokens(fleet, since)
         best = max(tokens[team] for team in tokens if team != HOT)
-        assert tokens[HOT] >= LEAST_PART * best, (since, tokens)
+        assert tokens[HOT] >= MIN_FRACTION * best, (since, tokens)
--- a/tests/admission/test_lasting_overload.py
+++ b/tests/admission/test_lasting_overload.py
@@ -1,4 +1,4 @@
-"""What engines are given to read while twice as much is asked for as they can do."""
+"""Utilisation of the engines under a lasting load of twice their capacity."""
 
 import pytest
 
@@ -13,13 +13,14 @@
 MEMORY_TOKENS = 600_000
 CAPACITY_PER_S = ENGINES * READ_PER_S
 PER_S = 120.0
-"""Prompts a second; with the shared parts that engines keep, twice what they can read."""
+"""Prompts per second. With the shared parts that the engines cache, this is twice what the engines
+can read."""
 
 SECONDS = 30
 STALL_S, STALL_END_S = 5, 7
 HOT = TeamId("hot")
-LEAST_PART = 0.9
-"""Of what engines can read, in each second from one after the stall on."""
+MIN_UTILISATION = 0.9
+"""Minimum utilisation of the engines, in each second from one second after the stall."""
 
 
 def make_fleet() -> Fleet:
@@ -30,50 +31,52 @@
 
 
 def stall(fleet: Fleet) -> None:
-    """A third of the engines are gone for a while, and one team asks for five times its part."""
+    """Remove a third of the engines for a while, and let one team demand five times its share."""
     lost = [TargetId(f"e{number}") for number in range(ENGINES // 3)]
 
-    def lose() -> None:
+    def remove_engines() -> None:
         for target in lost:
-            fleet.pools[0].targets.drop(target)
+            fleet.pools[0].targets.remove(target)
 
-    def come_back() -> None:
+    def restore_engines() -> None:
         for target in lost:
             info = TargetInfo(target, ServiceName("llm"), "h:1", ZoneId("z"), 64)
-            fleet.pools[0].targets.take(info)
+            fleet.pools[0].targets.add_or_update(info)
 
-    fleet.timeline.at(STALL_S, lose)
-    fleet.timeline.at(STALL_END_S, come_back)
+    fleet.timeline.at(STALL_S, remove_engines)
+    fleet.timeline.at(STALL_END_S, restore_engines)
     play_prompts(fleet, PER_S / 2, STALL_END_S, 7, team=lambda rng: HOT, since=STALL_S)
 
 
-def read_in_seconds(fleet: Fleet) -> list[float]:
-    """Part of what engines can read that they were given, second by second."""
-    seen = [0.0]
+def utilisation_per_second(fleet: Fleet) -> list[float]:
+    """Return the utilisation of the engines in each second."""
+    totals = [0.0]
     for second in range(1, SECONDS + 1):
         fleet.run(second)
-        seen.append(read_tokens(fleet) / CAPACITY_PER_S)
-    return [after - before for before, after in zip(seen, seen[1:], strict=False)]
+        totals.append(read_tokens(fleet) / CAPACITY_PER_S)
+    return [after - before for before, after in zip(totals, totals[1:], strict=False)]
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_engines_are_kept_busy_after_a_stall(seed):
-    """Guards against capacity that stays unused once requests have been refused in a stall."""
+    """Guards against capacity that stays unused after requests were refused during a stall."""
     fleet = make_fleet()
     play_prompts(fleet, PER_S, SECONDS, seed)
     stall(fleet)
-    parts = read_in_seconds(fleet)
-    assert sum(parts) / SECONDS > LEAST_PART
-    later = parts[STALL_END_S + 1 :]
-    assert min(sum(pair) / 2 for pair in zip(later, later[1:], strict=False)) > LEAST_PART
+    utilisation = utilisation_per_second(fleet)
+    assert sum(utilisation) / SECONDS > MIN_UTILISATION
+    later = utilisation[STALL_END_S + 1 :]
+    assert min(sum(pair) / 2 for pair in zip(later, later[1:], strict=False)) > MIN_UTILISATION
 
 
-def test_engines_are_kept_busy_by_a_scheduler_that_takes_over():
-    """Guards against a scheduler that begins without knowing how fast engines are."""
+def test_engines_are_kept_busy_after_a_scheduler_takeover():
+    """Guards against a new scheduler that starts without a measured throughput."""
     fleet = make_fleet()
     play_prompts(fleet, PER_S, SECONDS, 4)
     stall(fleet)
     fleet.timeline.at(STALL_END_S + 0.5, fleet.restart_all, True)
-    parts = read_in_seconds(fleet)
-    assert min(parts[STALL_END_S + 2 :]) > LEAST_PART - 0.1
-    assert sum(parts[STALL_END_S + 2 :]) / len(parts[STALL_END_S + 2 :]) > LEAST_PART
+    utilisation = utilisation_per_second(fleet)
+    assert min(utilisation[STALL_END_S + 2 :]) > MIN_UTILISATION - 0.1
+    assert (
+        sum(utilisation[STALL_END_S + 2 :]) / len(utilisation[STALL_END_S + 2 :]) > MIN_UTILISATION
+    )
--- a/tests/admission/test_pool_load.py
+++ b/tests/admission/test_pool_load.py
@@ -1,4 +1,4 @@
-"""What callers get from several routers that share engines, under loads that hurt."""
+"""Simulations of several routers that share engines, under demanding loads."""
 
 import pytest
 
@@ -16,21 +16,21 @@
 ROUTERS, ENGINES = 8, 9
 
 
-def test_calm_load_is_nearly_all_in_time_and_parts_are_read_about_once():
+def test_light_load_is_in_time_and_parts_are_read_about_once():
     fleet = reading_fleet(ROUTERS, ENGINES)
     play_prompts(fleet, per_s=20, seconds=30, seed=1)
     fleet.run(40)
     assert in_time(fleet, since=8) > 0.95
-    asked = sum(caller.prompt.input_tokens for caller in fleet.callers)
-    own = sum(caller.prompt.parts[-1].tokens for caller in fleet.callers)
-    assert read_tokens(fleet) - own < 0.35 * (asked - own)
+    input_tokens = sum(caller.prompt.input_tokens for caller in fleet.callers)
+    unshared_tokens = sum(caller.prompt.parts[-1].tokens for caller in fleet.callers)
+    assert read_tokens(fleet) - unshared_tokens < 0.35 * (input_tokens - unshared_tokens)
 
 
-def test_twice_the_load_that_fits_is_served_in_time_for_what_fits():
-    # Without an end to waiting, every request of an overloaded pool is answered late: each waits as
-    # long as it may, and the first event comes after the objective. The ones that can't be in time
-    # any more must go, so that the others are: 0.32 of all are in time, 0.20 when each waits for
-    # its whole objective, 0.28 when engines are given 0.25 s of reading ahead instead of 0.08 s.
+def test_overload_does_not_make_all_answers_late():
+    # If all requests of an overloaded pool waited until their deadline, every answer would be late.
+    # Requests that can no longer be in time must be refused, so that the others are in time. 0.32
+    # of all requests are in time; 0.20 if each waits for its whole objective, and 0.28 if engines
+    # have 0.25 s of reading queued instead of 0.08 s.
     fleet = reading_fleet(ROUTERS, ENGINES)
     play_prompts(fleet, per_s=160, seconds=25, seed=2)
     fleet.run(35)
@@ -54,12 +54,12 @@
     play_prompts(fleet, per_s=120, seconds=10, seed=4)
     fleet.run(60)
     assert all(c.first_at is not None or c.refused_at is not None for c in fleet.callers)
-    assert all(not load.held for pool in fleet.pools for load in pool.targets.loads.values())
+    assert all(not load.reserved for pool in fleet.pools for load in pool.targets.loads.values())
 
 
-def test_popular_part_does_not_fill_one_engine():
-    # Most of the traffic is about one thing. The engine that keeps it would serve it all alone
-    # while the others idle; some of it must be read elsewhere.
+def test_a_popular_part_is_read_on_several_engines():
+    # Most prompts share one of two parts. The engines that cache them must not serve all of these
+    # prompts while the others idle; some of the parts must be read again on other engines.
     fleet = reading_fleet(ROUTERS, ENGINES)
     play_prompts(fleet, per_s=60, seconds=20, seed=5, subjects=2)
     fleet.run(30)
@@ -68,12 +68,12 @@
     assert len(busy) >= 4
 
 
-def test_restart_of_all_routers_does_not_make_engines_read_everything_again():
-    # All routers are killed under a load that fits and start again without memory. Prompts go to
-    # the engine with the least to do instead of the one that keeps their part, which is read again;
-    # that doubles the reading, and callers are late and refused for seconds. What the engines
-    # list when asked is enough to go on as before: 0.84 of the callers in the next four seconds
-    # are in time instead of 0.24, and 0.88 without a restart.
+def test_cached_parts_survive_a_restart_of_all_routers():
+    # All routers are killed under a sustainable load and restart without state. Prompts then go to
+    # the least loaded engine instead of the one that caches their part. Reading the parts again
+    # doubles the work, and callers are late or refused for seconds. The lists of cached parts that
+    # the engines return on request suffice to avoid this: 0.84 of the callers in the next four
+    # seconds are in time instead of 0.24, and 0.88 without a restart.
     def in_time_after_restart(recalled: bool) -> float:
         fleet = reading_fleet(ROUTERS, ENGINES)
         play_prompts(fleet, per_s=50, seconds=19, seed=7, subjects=200)
@@ -86,22 +86,22 @@
 
 
 @pytest.mark.parametrize("seed", [6, 7])
-def test_team_whose_callers_all_come_in_at_one_router_gets_its_share(seed):
-    # All callers of one team come in at one router, those of another at the seven others. Each
-    # router fills the engines as it sees room, so the second team has seven hands to the first
-    # team's one, and gets several times as much unless its routers hold back for the first, and the
-    # first one's router uses more room: 0.94 and 0.93 of the other's service instead of 0.67 and
-    # 0.71.
+def test_a_team_whose_callers_use_one_router_gets_its_share(seed):
+    # All callers of one team use one router, those of another team the seven others. Every router
+    # dispatches to any engine that appears to have capacity, so the second team would receive
+    # several times as much service. To prevent this, its routers use smaller windows, and the
+    # router of the first team uses a larger one: the first team receives 0.94 and 0.93 of the other
+    # team's service instead of 0.67 and 0.71.
     lone, spread = TeamId("lone"), TeamId("spread")
     fleet = reading_fleet(ROUTERS, ENGINES)
-    turns = iter(range(10**9))
+    numbers = iter(range(10**9))
     play_prompts(
         fleet,
         per_s=180,
         seconds=20,
         seed=seed,
         team=lambda rng: lone if rng.random() < 0.5 else spread,
-        router=lambda name: 0 if name == lone else 1 + next(turns) % (ROUTERS - 1),
+        router=lambda name: 0 if name == lone else 1 + next(numbers) % (ROUTERS - 1),
     )
     fleet.run(30)
 
@@ -112,21 +112,22 @@
     assert served(lone) > 0.85 * served(spread)
 
 
-def test_lost_answers_do_not_put_engines_out_of_use():
-    # One answer in fifty never comes, on every engine. Each router that waits for one takes its
-    # engine for silent and busy until the caller gives up, and soon every engine is: 0.29 of the
-    # callers were in time instead of 0.57, and the engines idled 0.44 of the time instead of 0.16.
+def test_lost_answers_do_not_make_engines_unavailable():
+    # Every engine loses one answer in fifty. A router that waits for such an answer until the
+    # caller's deadline considers the engine unresponsive and busy, soon all of them. This fault
+    # reduced the callers in time from 0.57 to 0.29 and raised the idle time of the engines from
+    # 0.16 to 0.44.
     fleet = Fleet(6, [LossyEngine] * ENGINES)
     play_prompts(fleet, per_s=90, seconds=25, seed=1)
     fleet.run(30)
     assert in_time(fleet, since=5) > 0.5
 
 
-def test_engines_do_not_idle_between_the_words_of_peers():
-    # Six routers ask for nine tenths of what the engines read. By what peers told last, engines
-    # look busy for up to a quarter of a second after they are done, and requests wait for it: 0.66
-    # and 0.67 of the callers were in time instead of 0.75 and 0.71, with the engines at work for
-    # 0.88 of the time instead of 0.94.
+def test_engines_do_not_idle_between_load_reports_of_peers():
+    # The load of six routers is 0.9 of the engines' capacity. If the last load reports of peers are
+    # taken unchanged, engines appear busy for up to 0.25 s after they have finished, and requests
+    # wait needlessly. This fault reduced the callers in time from 0.75 and 0.71 to 0.66 and 0.67,
+    # and the utilisation of the engines from 0.94 to 0.88.
     shares = []
     for seed in (1, 2):
         fleet = reading_fleet(6, ENGINES)
@@ -136,11 +137,11 @@
     assert sum(shares) / 2 > 0.7, shares
 
 
-def test_one_router_that_schedules_for_all_serves_more_in_time():
-    # Callers wait in the engines, where nobody can order or refuse them. Eight routers each see
-    # room at an engine and fill it at the same moment, as they hear of each other four times a
-    # second; one that is asked by all knows what it has sent. Same engines, same load, twice what
-    # they can read.
+def test_a_single_scheduler_serves_more_requests_in_time():
+    # Eight routers exchange load reports four times per second, so several of them dispatch to the
+    # same free engine at once. Requests then wait at the engine, where they can be neither
+    # reordered nor refused. A single scheduler knows everything that it has dispatched. Both runs
+    # use the same engines and the same load, which is twice their capacity.
     shares = {}
     for routers in (ROUTERS, 1):
         fleet = reading_fleet(routers, ENGINES)
--- a/tests/config/test_config_stateful.py
+++ b/tests/config/test_config_stateful.py
@@ -61,7 +61,7 @@
     def __init__(self) -> None:
         super().__init__()
         watch_config._BACKOFF_S = (0.0,)
-        watch_config._NOTHING_NEW_S = 0.0
+        watch_config._UNCHANGED_PAUSE_S = 0.0
         self.revisions: list[bytes] = []
         self.visible = 0
         self.down = False
--- a/tests/fairness/test_fleet_share.py
+++ b/tests/fairness/test_fleet_share.py
@@ -1,13 +1,13 @@
-"""The slot share rule between routers, and merging of peers' counters."""
+"""Slot shares of routers, and merging of peers' counters."""
 
 from hypothesis import given as hgiven
 from hypothesis import strategies as st
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from turmerictray.core.ids import NodeId, TeamId
-from turmerictray.fairness.allot import SlotCount, allot
-from turmerictray.fairness.ledger import PeerCounters, ServiceLedger
+from turmerictray.fairness.ledger import PeerCounters, UsageLedger
 from turmerictray.fairness.shares import ShareTable
+from turmerictray.fairness.slot_allocation import SlotCount, allocate_slots
 
 scenarios("features/fleet_share.feature")
 
@@ -17,7 +17,7 @@
 @given(
     parsers.parse('team "{team}" of weight {w:d} waits only on this router'), target_fixture="table"
 )
-def only_here(ctx, team, w):
+def waits_only_here(ctx, team, w):
     ctx["local"] = {TeamId(team): 8}
     return ShareTable(NodeId("r0"), 3.0)
 
@@ -25,17 +25,17 @@
 @given(
     parsers.parse('teams "{a}" and "{b}" of weight 1 wait equally on this router and one ' "peer")
 )
-def spread(ctx, table, a, b):
+def waits_on_both(ctx, table, a, b):
     ctx["local"].update({TeamId(a): 4, TeamId(b): 4})
     table.update("r1", {a: 4, b: 4}, now=100.0)
     ctx["now"] = 100.0
 
 
 @given(
-    "a peer reported backlog 10 seconds ago and this router holds none of the same teams",
+    "a peer reported backlog 10 seconds ago and none of the same teams wait on this router",
     target_fixture="table",
 )
-def silent_peer(ctx):
+def peer_without_recent_report(ctx):
     table = ShareTable(NodeId("r0"), 3.0)
     table.update("r1", {"riders": 4}, now=90.0)
     ctx["local"] = {TeamId("depot"): 1}
@@ -43,9 +43,9 @@
     return table
 
 
-@when("this router works out its share")
-@when("this router works out its share with a 3 second peer timeout")
-def work_out(ctx, table):
+@when("this router computes its share")
+@when("this router computes its share with a 3 second peer timeout")
+def compute_share(ctx, table):
     ctx["share"] = table.share(ctx["local"], WEIGHTS, now=ctx["now"])
 
 
@@ -58,10 +58,10 @@
     st.lists(st.tuples(st.sampled_from(["a", "b", "c"]), st.integers(0, 20)), max_size=6),
     st.lists(st.tuples(st.sampled_from(["a", "b", "c"]), st.integers(0, 20)), max_size=6),
 )
-def test_shares_of_two_routers_sum_to_one(mine, theirs):
-    """Two routers that hear each other claim, together, all of a target and no more."""
-    local_a = {TeamId(t): n for t, n in mine}
-    local_b = {TeamId(t): n for t, n in theirs}
+def test_shares_of_two_routers_sum_to_one(local, remote):
+    """Two routers that report to each other are together allocated all of a target and no more."""
+    local_a = {TeamId(t): n for t, n in local}
+    local_b = {TeamId(t): n for t, n in remote}
     table_a, table_b = ShareTable(NodeId("a"), 3.0), ShareTable(NodeId("b"), 3.0)
     table_a.update("b", {t: n for t, n in local_b.items()}, now=0.0)
     table_b.update("a", {t: n for t, n in local_a.items()}, now=0.0)
@@ -71,26 +71,26 @@
         if any(local_a.values()) and any(local_b.values()):
             assert abs(share_a + share_b - 1.0) < 1e-9
         assert 0.0 <= share_a <= 1.0 and 0.0 <= share_b <= 1.0
-    parts = table_a.shares(local_a, WEIGHTS, now=0.0)
-    assert parts == table_b.shares(local_b, WEIGHTS, now=0.0), "the routers disagree"
+    shares = table_a.shares(local_a, WEIGHTS, now=0.0)
+    assert shares == table_b.shares(local_b, WEIGHTS, now=0.0), "the routers disagree"
     targets = [SlotCount("e0", 1), SlotCount("e1", 4), SlotCount("e2", 8)]
-    claims = [sum(allot(router, parts, targets).values()) for router in parts]
-    assert all(slots >= 1 for slots in claims)
-    if parts:
-        assert 13 <= sum(claims) <= 13 + claims.count(1)
+    allocations = [sum(allocate_slots(router, shares, targets).values()) for router in shares]
+    assert all(slots >= 1 for slots in allocations)
+    if shares:
+        assert 13 <= sum(allocations) <= 13 + allocations.count(1)
 
 
 @hgiven(
     st.lists(st.floats(1e-4, 1.0), min_size=1, max_size=10),
     st.lists(st.integers(1, 12), min_size=1, max_size=6),
 )
-def test_slots_are_dealt_out_whole_and_once(weights, slots):
-    """However many routers and however small their parts, no target is promised twice over."""
+def test_slots_are_allocated_whole_and_once(weights, slots):
+    """No target is allocated beyond its slots, whatever the number and shares of routers."""
     total = sum(weights)
     shares = {f"r{i}": weight / total for i, weight in enumerate(weights)}
     targets = [SlotCount(f"e{i}", count) for i, count in enumerate(slots)]
-    claims = {router: allot(router, shares, targets) for router in shares}
-    sums = {router: sum(claim.values()) for router, claim in claims.items()}
+    allocations = {router: allocate_slots(router, shares, targets) for router in shares}
+    sums = {router: sum(allocation.values()) for router, allocation in allocations.items()}
     assert sum(slots) <= sum(sums.values()) <= sum(slots) + list(sums.values()).count(1)
     for router, share in shares.items():
         assert sums[router] >= 1
@@ -108,17 +108,17 @@
         max_size=30,
     )
 )
-def test_merging_beats_in_any_order_counts_nothing_twice(beats):
-    """Beats lost, repeated or reordered (a partition healing) leave the largest count."""
-    forward, backward = ServiceLedger(NodeId("r0")), ServiceLedger(NodeId("r0"))
+def test_merging_reports_in_any_order_counts_nothing_twice(reports):
+    """Lost, repeated or reordered heartbeats, as after a partition, leave the largest count."""
+    forward, backward = UsageLedger(NodeId("r0")), UsageLedger(NodeId("r0"))
     expect: dict[tuple[str, int, str], float] = {}
-    for node, inc, team, value in beats:
-        beat = PeerCounters(node, inc, {team: float(value)})
-        forward.merge(beat)
-        forward.merge(beat)
+    for node, inc, team, value in reports:
+        report = PeerCounters(node, inc, {team: float(value)})
+        forward.merge(report)
+        forward.merge(report)
         key = (node, inc, team)
         expect[key] = max(expect.get(key, 0.0), float(value))
-    for node, inc, team, value in reversed(beats):
+    for node, inc, team, value in reversed(reports):
         backward.merge(PeerCounters(node, inc, {team: float(value)}))
     for team in ("a", "b"):
         want = sum(v for (_, _, t), v in expect.items() if t == team)
--- a/tests/fairness/test_returning_team.py
+++ b/tests/fairness/test_returning_team.py
@@ -1,21 +1,21 @@
-"""Teams that come back, cuts that heal, and routers that restart, in the fair queue's order."""
+"""Order of the fair queue when teams return, partitions heal and routers restart."""
 
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from turmerictray.core.ids import NodeId, RequestId, TeamId
-from turmerictray.fairness.ledger import PeerCounters, ServiceLedger
-from turmerictray.fairness.queue import FairQueue, Pending
+from turmerictray.fairness.ledger import PeerCounters, UsageLedger
+from turmerictray.fairness.queue import FairQueue, PendingRequest
 
 scenarios("features/returning_team.feature")
 
 
 def _queue() -> FairQueue:
-    return FairQueue(ServiceLedger(NodeId("r0"), incarnation=9), 1000, retry_after=1.0)
+    return FairQueue(UsageLedger(NodeId("r0"), incarnation=9), 1000, retry_after=1.0)
 
 
 def _push(queue: FairQueue, team: str, count: int) -> None:
     for i in range(count):
-        queue.push(Pending(RequestId(f"{team}-{i}"), TeamId(team), 10.0, deadline=1e9))
+        queue.push(PendingRequest(RequestId(f"{team}-{i}"), TeamId(team), 10.0, deadline=1e9))
 
 
 @given(
@@ -31,14 +31,14 @@
 
 @given(parsers.parse('a peer reports that "{team}" waits there'))
 def waits_there(queue, team):
-    queue.ledger.waiting_elsewhere = {TeamId(team)}
+    queue.ledger.waiting_on_peers = {TeamId(team)}
 
 
-@when(parsers.parse('an idle team "{team}" of weight 1 comes back with {count:d} requests'))
-def comes_back(queue, team, count):
-    # Callers of the team that stayed see their waits grow without end if the returning team
-    # is served alone until its total has caught up with an hour of theirs. It should start
-    # level with the least served backlogged team and share from there on.
+@when(parsers.parse('an idle team "{team}" of weight 1 returns with {count:d} requests'))
+def team_returns(queue, team, count):
+    # The waiting time of the team that stayed grows without bound if the returning team is served
+    # alone until its total has caught up with an hour of usage. It should start level with the
+    # least served backlogged team and share from there on.
     _push(queue, team, count)
 
 
@@ -56,13 +56,13 @@
     return queue
 
 
-@when(parsers.parse("a peer reports {tokens:d} tokens of service to {team}"))
+@when(parsers.parse("a peer reports {tokens:d} tokens of usage of {team}"))
 def peer_reports(queue, ctx, tokens, team):
-    # During the cut the far side served one team alone, since only that team called there.
-    # Callers of that team here would now wait until the other has received as much: starved
-    # by an outage they had no part in. The debt is cut down to the limit instead.
+    # During the partition the remote side served only one team, as only that team sent requests
+    # there. That team's callers here would wait until the other has received as much, starved by an
+    # outage they had no part in. The debt is limited instead.
     queue.ledger.merge(PeerCounters("r1", 1, {team: float(tokens)}))
-    queue.ledger.forgive(ctx["limit"])
+    queue.ledger.limit_deficit(ctx["limit"])
 
 
 @when(parsers.parse("{count:d} requests of {tokens:d} tokens are granted"))
@@ -70,8 +70,8 @@
     got: dict[str, int] = {}
     for _ in range(count):
         item = queue.pop()
-        queue.ledger.charge(item.team, item.hint)
-        queue.ledger.settle(item.team, item.hint, float(tokens))
+        queue.ledger.charge(item.team, item.estimated_cost)
+        queue.ledger.settle(item.team, item.estimated_cost, float(tokens))
         got[item.team] = got.get(item.team, 0) + 1
     ctx.update(got=got, count=count)
 
@@ -91,24 +91,24 @@
     target_fixture="ledger",
 )
 def restarted(ctx, tokens, team):
-    # The restarted router counts from zero. Without its earlier service it would take the
-    # teams it had served most for the least served ones and put them first.
-    before = ServiceLedger(NodeId("r0"), incarnation=1)
+    # The restarted router counts from zero. Without its earlier usage it would consider the teams
+    # it had served most the least served ones, and serve them first.
+    before = UsageLedger(NodeId("r0"), incarnation=1)
     before.settle(TeamId(team), 0.0, float(tokens))
-    ctx["peer"] = ServiceLedger(NodeId("r1"), incarnation=5)
-    ctx["peer"].merge(before.own_report())
-    return ServiceLedger(NodeId("r0"), incarnation=2)
+    ctx["peer"] = UsageLedger(NodeId("r1"), incarnation=5)
+    ctx["peer"].merge(before.local_report())
+    return UsageLedger(NodeId("r0"), incarnation=2)
 
 
-@when("a peer echoes what it knew of the router's earlier life")
-def echo(ctx, ledger):
-    ctx["peer"].merge(ledger.own_report())
-    ctx["echoes"] = ctx["peer"].earlier_lives(NodeId("r0"))
+@when("a peer reports the counters of the router's earlier incarnation")
+def report_earlier(ctx, ledger):
+    ctx["peer"].merge(ledger.local_report())
+    ctx["echoes"] = ctx["peer"].earlier_incarnations(NodeId("r0"))
     for report in ctx["echoes"]:
         ledger.merge(report)
 
 
-@then(parsers.parse("the router counts {tokens:d} tokens for {team} once, also when told again"))
+@then(parsers.parse("the router counts {tokens:d} tokens for {team} once, also if reported again"))
 def counted_once(ctx, ledger, tokens, team):
     assert ledger.total(TeamId(team)) == tokens
     for report in ctx["echoes"]:
@@ -122,27 +122,27 @@
     ),
     target_fixture="ledger",
 )
-def many_lives(times, tokens, team):
-    # Every replacement of a router starts a new life. Kept apart for ever they would grow a
+def many_incarnations(times, tokens, team):
+    # Every replacement of a router starts a new incarnation. Keeping all of them would grow a
     # router's memory by one set of counters per restart, at 160 restarts a day.
-    ledger = ServiceLedger(NodeId("r0"), incarnation=9)
-    for life in range(1, times + 1):
-        ledger.merge(PeerCounters("r1", life, {team: float(tokens)}))
+    ledger = UsageLedger(NodeId("r0"), incarnation=9)
+    for incarnation in range(1, times + 1):
+        ledger.merge(PeerCounters("r1", incarnation, {team: float(tokens)}))
     return ledger
 
 
-@then(parsers.parse("the ledger counts {tokens:d} tokens for {team} in its order of service"))
+@then(parsers.parse("the ledger counts {tokens:d} tokens for {team} in its normalised usage"))
 def counts_in_order(ledger, tokens, team):
     assert ledger.normalised(TeamId(team)) == tokens
 
 
-@then(parsers.parse("it keeps at most {lives:d} lives of the peer"))
-def keeps_few(ledger, lives):
-    assert len([key for key in ledger.remote if key[0] == "r1"]) <= lives
+@then(parsers.parse("it keeps at most {count:d} incarnations of the peer"))
+def keeps_few(ledger, count):
+    assert len([key for key in ledger.remote if key[0] == "r1"]) <= count
 
 
-@then("a late beat of the first life changes nothing")
-def late_beat(ledger):
+@then("a late heartbeat of the first incarnation changes nothing")
+def late_heartbeat(ledger):
     before = ledger.normalised(TeamId("depot"))
     ledger.merge(PeerCounters("r1", 1, {"depot": 10.0}))
     assert ledger.normalised(TeamId("depot")) == before
--- a/tests/orders/fakes.py
+++ b/tests/orders/fakes.py
@@ -1,11 +1,11 @@
-"""Small fakes at the interfaces of the order guard."""
+"""Fakes of the collaborators of the order guard."""
 
 import json
 
 import pykka
 
 from turmerictray.config.load import parse_config
-from turmerictray.orders.ask import AskHome
+from turmerictray.orders.messages import AskHome
 from turmerictray.orders.vote import Vote
 from turmerictray.router.messages import Admit, Grant
 
@@ -27,16 +27,16 @@
 )
 
 
-class VouchingHome(pykka.ThreadingActor):
-    """A home that grants everything."""
+class GrantingReplica(pykka.ThreadingActor):
+    """A claim replica that grants every claim."""
 
     def on_receive(self, message: object) -> None:
         if isinstance(message, AskHome):
             message.reply.set_result(Vote.GRANTED)
 
 
-class AlwaysGrants(pykka.ThreadingActor):
-    """A dispatcher that grants every admission the same slot."""
+class GrantingDispatcher(pykka.ThreadingActor):
+    """A dispatcher that answers every admission with the same grant."""
 
     def __init__(self, grant: Grant) -> None:
         super().__init__()
@@ -47,8 +47,8 @@
             message.reply.set_result(self.grant)
 
 
-class NeverCalled:
-    """An upstream that counts calls, of which there must be none."""
+class UncalledUpstream:
+    """An upstream that counts calls and fails the test on the first one."""
 
     def __init__(self) -> None:
         self.calls = 0
--- a/tests/placement/test_engine_orders.py
+++ b/tests/placement/test_engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines under changes, freezes and restarts."""
+"""Model orders to engines during configuration changes, router freezes and restarts."""
 
 import json
 import signal
@@ -14,7 +14,7 @@
 from turmerictray.core.timer import Tick
 from turmerictray.fairness.ledger import PeerCounters
 from turmerictray.placement.engine import EngineModels, ModelOrder
-from turmerictray.placement.issuer import issuer_of
+from turmerictray.placement.issuer import responsible_router
 from turmerictray.placement.placer import Placer
 from turmerictray.router.messages import ConfigConfirmed, PeerSummary
 
@@ -26,7 +26,7 @@
 @given(
     parsers.re(
         r"3 routers and (?P<engines>\d) engines? that (?P<kind>check|ignore) fencing numbers, "
-        r'told to load "(?P<model>[^"]+)"'
+        r'configured to load "(?P<model>[^"]+)"'
     ),
     target_fixture="fleet",
 )
@@ -64,7 +64,7 @@
     )
 
 
-@when(parsers.parse('the configuration says "{model}"'))
+@when(parsers.parse('the configuration changes to "{model}"'))
 def change(fleet, model):
     text = dict(fleet.config)
     text["services"] = [
@@ -75,13 +75,15 @@
 
 
 @when(
-    parsers.parse('the router that gave the order is frozen and the configuration says "{model}"')
+    parsers.parse(
+        'the router that sent the order is frozen and the configuration changes to "{model}"'
+    )
 )
 def freeze_and_change(fleet, ctx, model):
-    # Callers of the new model get it although the responsible router is frozen: another takes
-    # the engine over once the frozen one has been silent for the peer timeout. When it wakes, it
-    # still holds the old text and its first tick finds the engine "wrong": on an engine that
-    # ignores fencing numbers, its order would bring the old model back.
+    # Callers get the new model although the responsible router is frozen: another router takes over
+    # the engine once the frozen one has sent no heartbeat for the peer timeout. When it resumes, it
+    # still has the old configuration, and its first tick finds the engine's model to differ: on an
+    # engine that ignores fencing numbers, its order would restore the old model.
     ctx["frozen"] = _issuers(fleet)[0]
     fleet.signal(ctx["frozen"], signal.SIGSTOP)
     change(fleet, model)
@@ -93,28 +95,28 @@
     return [line.rsplit("router=", 1)[1].split()[0] for line in orders]
 
 
-@when("the instance list calls the router that gave the order leaving")
+@when("the instance list reports the router that sent the order as leaving")
 def list_leaving(fleet, ctx):
-    # The router is about to be replaced; were it still responsible, a change just before its
-    # end would wait for its silence to be noticed.
+    # The router is about to be replaced. If it were still responsible, a change just before its end
+    # would be delayed until its peers detect the missing heartbeats.
     state = {"id": _issuers(fleet)[0], "state": "leaving"}
     fleet.post_json("instances", "/admin/set", state)
     time.sleep(1.5)
 
 
-@then("another router gave it")
+@then("another router sent it")
 def another_router(fleet):
     first, second = _issuers(fleet)
     assert first != second
 
 
-@when("the frozen router wakes")
-def wake(fleet, ctx):
+@when("the frozen router resumes")
+def resume(fleet, ctx):
     fleet.signal(ctx["frozen"], signal.SIGCONT)
 
 
-@then(parsers.parse('for {secs:d} seconds no engine takes an order for "{model}" again'))
-def never_back(fleet, ctx, secs, model):
+@then(parsers.parse('for {secs:d} seconds no engine receives an order for "{model}" again'))
+def no_more_orders(fleet, ctx, secs, model):
     deadline = time.monotonic() + secs
     while time.monotonic() < deadline:
         for stats in _stats(fleet):
@@ -123,9 +125,9 @@
         time.sleep(0.1)
 
 
-@when(parsers.parse('an order for "{model}" with the fencing number before arrives'))
+@when(parsers.parse('an order for "{model}" with the previous fencing number arrives'))
 def late_order(fleet, ctx, model):
-    # The order left its router before the change and was held up on the way.
+    # The order was sent before the change and delayed in transit.
     order = {"fence": 0, "action": "set_models", "models": [model]}
     ctx["answer"] = fleet.post_json("engine-0", "/admin/order", order)
 
@@ -136,16 +138,17 @@
     assert _stats(fleet)[0]["models"] == [model]
 
 
-@when("the engine is killed and started again")
+@when("the engine is killed and restarted")
 def restart_engine(fleet, ctx):
-    # Nothing of the engine lasts; callers of its model wait until it is ordered again.
+    # The engine keeps no state across restarts; callers of its model wait until it is ordered
+    # again.
     fleet.kill("engine-0")
     fleet.wait_ready(fleet.restart("engine-0"))
     ctx["orders"] = 0
 
 
 class FakeEngine:
-    """Takes every order."""
+    """Engine double that accepts every order."""
 
     def __init__(self, models: list[str]) -> None:
         self.models = models
@@ -158,7 +161,7 @@
         self.orders.append(order)
 
     def close(self) -> None:
-        """Nothing to close."""
+        """Do nothing; there are no connections."""
 
 
 def _snapshot(engine: str, fencing: bool, model: str = "chat-1") -> ConfigSnapshot:
@@ -172,16 +175,17 @@
 
 @given(
     parsers.re(
-        r'a placer told "(?P<mine>[^"]+)" long ago and an engine that (?P<kind>check|ignore) '
-        r'fencing numbers with "(?P<theirs>[^"]+)"'
+        r'a placer configured with "(?P<configured>[^"]+)", unconfirmed for 60 seconds, '
+        r'and an engine that (?P<kind>check|ignore) fencing numbers with "(?P<loaded>[^"]+)"'
     ),
     target_fixture="placer",
 )
-def old_placer(ctx, mine, kind, theirs):
+def unconfirmed_placer(ctx, configured, kind, loaded):
     # The router was frozen while the configuration changed and another router ordered the new
-    # model. Woken, it sees another model than its text says, and cannot tell which is newer.
-    snapshot = _snapshot("e0", kind == "check", mine)
-    ctx["engine"] = FakeEngine([theirs])
+    # model. After it resumes, the engine's model differs from its configuration, and the router
+    # cannot determine which one is newer.
+    snapshot = _snapshot("e0", kind == "check", configured)
+    ctx["engine"] = FakeEngine([loaded])
     node = NodeId("r0")
     placer = Placer.start(node, [Member(node, ZoneId("madina"))], snapshot, ctx["engine"], 3.0)
     placer.tell(ConfigConfirmed(1, time.monotonic() - 60.0))
@@ -189,7 +193,7 @@
     placer.stop()
 
 
-@when("the placer compares them")
+@when("the placer compares engine and configuration")
 def compare(placer, ctx):
     ctx["engine"].orders.clear()
     placer.ask(Tick("placement", time.monotonic()))
@@ -211,21 +215,24 @@
 
 
 @given(
-    "a placer just started beside a peer, and an engine without its model", target_fixture="placer"
+    "a placer just started with one peer, and an engine without its model", target_fixture="placer"
 )
 def new_placer(ctx):
-    # Hearing nobody, a new router would take every engine for its own, and all routers of a
-    # starting fleet would order the same models at once from a rate-limited weight store.
+    # Without heartbeats from peers, a new router would consider itself responsible for every
+    # engine, and all routers of a starting fleet would order the same models at once from a
+    # rate-limited weight store.
     node, peer = NodeId("r0"), NodeId("r1")
     members = [Member(node, ZoneId("madina")), Member(peer, ZoneId("madina"))]
     names = (f"e{num}" for num in range(100))
-    mine = next(name for name in names if issuer_of(name, "madina", members) == node)
+    local_engine = next(
+        name for name in names if responsible_router(name, "madina", members) == node
+    )
     ctx["engine"] = FakeEngine([])
-    placer = Placer.start(node, members, _snapshot(mine, True), ctx["engine"], 60.0)
+    placer = Placer.start(node, members, _snapshot(local_engine, True), ctx["engine"], 60.0)
     yield placer
     placer.stop()
 
 
-@when("the peer is heard")
-def heard(placer):
+@when("a heartbeat of the peer arrives")
+def peer_heartbeat(placer):
     placer.tell(PeerSummary(PeerCounters("r1", 1, {})))
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -112,7 +112,7 @@
     changes = entries.take([item(2, born=2000)], 1.0, 0.0)
     assert changes.gone == ["i-1@1000"]
     (info,) = changes.changed
-    assert (info.id, info.own_name, info.phase) == ("i-1@2000", "i-1", TargetPhase.READY)
+    assert (info.id, info.instance_name, info.phase) == ("i-1@2000", "i-1", TargetPhase.READY)
 
 
 def test_a_clock_that_stepped_back_hides_no_restart():
@@ -163,7 +163,7 @@
     entries.take_all(
         [item(1, "i-good"), *(Item(f"servers/{n}", v, at(99)) for n, v in writes)], 0.0, 0.0, at(99)
     )
-    named = {info.own_name: info for info in entries.targets()}
+    named = {info.instance_name: info for info in entries.targets()}
     assert named[TargetName("i-good")].id == "i-good@1000"
     for info in named.values():
         assert info.slots >= 1 and info.address.rpartition(":")[2].isdigit()
@@ -187,7 +187,7 @@
     reader.take_all([item(2, "i-2")], 10.0, 12.2, at(9))
     assert reader.position > other.position
     other.take_copy(copied(reader, 10.5), 10.5)
-    assert [info.own_name for info in other.targets()] == ["i-1", "i-2"]
+    assert [info.instance_name for info in other.targets()] == ["i-1", "i-2"]
     assert other.next_lapse_s(10.5) == pytest.approx(1.7)
     assert other.lapse(12.3).gone == ["i-1@1000"]
 
@@ -199,7 +199,7 @@
     reader.take([removed(5)], 10.0, 12.2)
     other.take([removed(5)], 10.0, 0.0)
     assert not other.take_copy(copied(reader, 10.5), 10.5)
-    assert [info.own_name for info in other.targets()] == ["i-2"]
+    assert [info.instance_name for info in other.targets()] == ["i-2"]
 
 
 def test_a_copied_entry_that_can_not_be_read_names_no_target():
--- a/tests/router/features/connections.feature
+++ b/tests/router/features/connections.feature
@@ -1,10 +1,10 @@
-Feature: An idle connection closed at the wrong moment costs nobody an answer
-  Scenario: A caller uses its connection again after a pause
+Feature: Requests are not lost when an idle connection is closed
+  Scenario: A caller reuses its connection after a pause
     Given a fleet of 1 router and 1 engine
-    When a caller asks twice over one connection with a pause of 3 seconds
-    Then both answers are whole
+    When a caller sends two requests over one connection with a pause of 3 seconds between them
+    Then both answers are complete
 
-  Scenario: A target closes connections that are idle
-    Given a target that resets the second call of every connection
-    When two orders are sent to it one after the other
+  Scenario: A target closes idle connections
+    Given a target that closes every connection on its second request
+    When two non-idempotent requests are sent to it one after the other
     Then both are answered
--- a/tests/router/features/drain_retry.feature
+++ b/tests/router/features/drain_retry.feature
@@ -1,6 +1,6 @@
-Feature: A drain finishes every request it accepted, also between two tries
-  Scenario: A request's first try cannot connect just as the drain begins
-    Given a dispatcher that granted a request its first try
-    When the drain begins and the try ends without reaching its target
-    Then the retry is granted the other target
+Feature: A draining router finishes every request that it accepted, including its retries
+  Scenario: A request's first attempt cannot connect just as the drain begins
+    Given a dispatcher that granted a slot to a request's first attempt
+    When the drain begins and the attempt ends without reaching its target
+    Then the retry is granted a slot on the other target
     And a new request is refused as draining
--- a/tests/router/features/truthful_refusals.feature
+++ b/tests/router/features/truthful_refusals.feature
@@ -1,25 +1,25 @@
-Feature: A refusal says "not run" only when the request really was not run
-  Scenario: A retry finds no slot after a first try whose outcome is unknown
-    Given a proxy whose first try breaks after sending and whose second finds the queue timed out
-    When an idempotent call is served
-    Then the caller is told the outcome is unknown and when to come back
+Feature: A refusal says "not run" only if no attempt can have run
+  Scenario: A retry finds no slot after a first attempt whose outcome is unknown
+    Given a proxy whose first attempt fails after sending and whose second times out in the queue
+    When an idempotent request is served
+    Then the caller receives "outcome unknown" with Retry-After
 
-  Scenario: A retry cannot connect after a first try whose outcome is unknown
-    Given a proxy whose first try breaks after sending and whose second cannot connect
-    When an idempotent call is served
-    Then the caller is told the outcome is unknown and when to come back
+  Scenario: A retry cannot connect after a first attempt whose outcome is unknown
+    Given a proxy whose first attempt fails after sending and whose second cannot connect
+    When an idempotent request is served
+    Then the caller receives "outcome unknown" with Retry-After
 
-  Scenario: No try reached a target
+  Scenario: No attempt reached a target
     Given a proxy that never connects
-    When an idempotent call is served
-    Then the caller is told the request was not run and when to come back
+    When an idempotent request is served
+    Then the caller receives "not run" with Retry-After
 
-  Scenario: The only engine breaks one answer
+  Scenario: The only engine resets the connection of one answer
     Given a fleet of 1 router and 1 engine that resets one answer
-    When a caller asks for a whole answer
-    Then it arrives whole within 3 seconds
+    When a caller requests an answer that is not streamed
+    Then the complete answer arrives within 3 seconds
 
   Scenario: The router has no configuration yet
     Given a router whose configuration service never answered
-    When a caller asks it for an answer
+    When a caller sends it a request
     Then the request is refused as not run with Retry-After
--- a/tests/router/test_answer_lost.py
+++ b/tests/router/test_answer_lost.py
@@ -1,4 +1,4 @@
-"""What a router says when it takes an answer for lost."""
+"""Tests for the log line about an answer that is considered lost."""
 
 import time
 
@@ -9,7 +9,7 @@
 from turmerictray.core.timer import Tick
 from turmerictray.router.broker import Broker
 from turmerictray.router.text_in_force import RepeatLimits, TextInForce
-from turmerictray.routing.load import OpenRead, TargetInfo
+from turmerictray.routing.load import PendingPrefill, TargetInfo
 
 LLM, ENGINE = ServiceName("llm"), TargetId("e")
 
@@ -17,26 +17,26 @@
 @pytest.fixture
 def broker():
     broker = Broker(NodeId("r1"), ZoneId("z"), 1, TextInForce(), RepeatLimits())
-    targets = broker.pools.whole(LLM).targets
+    targets = broker.pools.unsharded(LLM).targets
     targets.set_spec(ServiceSpec(LLM, EngineSpec(64, 100_000)))
-    targets.take(TargetInfo(ENGINE, LLM, "h:1", ZoneId("z"), 64))
+    targets.add_or_update(TargetInfo(ENGINE, LLM, "h:1", ZoneId("z"), 64))
     return broker
 
 
-def test_a_lost_answer_is_logged_once_and_frees_its_engine(broker, monkeypatch):
-    # The engine's only answer is lost, and its caller waits on. The router believes less of the
-    # engine from then on, and whoever asks why finds the line.
-    lines = []
+def test_lost_answer_is_logged_once_and_frees_engine(broker, monkeypatch):
+    # The engine's only answer is lost while its caller keeps waiting. The router then counts a
+    # failure against the engine, and the log must say why.
+    events = []
     monkeypatch.setattr(
         "turmerictray.router.broker.log_event",
-        lambda event, **fields: lines.append((event, fields)),
+        lambda event, **fields: events.append((event, fields)),
     )
-    load = broker.pools.whole(LLM).targets.loads[ENGINE]
+    load = broker.pools.unsharded(LLM).targets.loads[ENGINE]
     now = time.monotonic()
-    load.sent(7, OpenRead(now - 3.0, 4000, 1500, 0.2))
+    load.record_sent(7, PendingPrefill(now - 3.0, 4000, 1500, 0.2))
     broker.on_receive(Tick("queues", now))
     broker.on_receive(Tick("queues", now + 0.1))
-    [(event, fields)] = lines
+    [(event, fields)] = events
     assert event == "answer_lost"
     assert (fields["target"], fields["sent_ms_ago"], fields["ahead_tokens"]) == (ENGINE, 3000, 1500)
-    assert load.own_unread_tokens() == 0
+    assert load.local_unread_tokens() == 0
--- a/tests/router/test_connections.py
+++ b/tests/router/test_connections.py
@@ -1,4 +1,4 @@
-"""Reuse of connections, towards callers and towards targets."""
+"""Reuse of idle connections to callers and to targets."""
 
 import http.client
 import json
@@ -18,11 +18,10 @@
     return start_fleet(engines=1, routers=1, services=0, teams={"depot": 1.0})
 
 
-@when("a caller asks twice over one connection with a pause of 3 seconds")
-def ask_twice(fleet, ctx):
-    # The caller keeps its connection, as HTTP libraries do. A router that closes it after a
-    # second leaves the caller with a connection that breaks under its next request, and with no
-    # way to know whether that was run.
+@when("a caller sends two requests over one connection with a pause of 3 seconds between them")
+def send_two_requests(fleet, ctx):
+    # HTTP libraries keep connections open. If the router closes one after a second, the caller's
+    # next request can fail on it, and the caller cannot tell whether that request was run.
     port = int(fleet.routers()[0].url.rsplit(":", 1)[1])
     conn = http.client.HTTPConnection("127.0.0.1", port, timeout=10)
     sock = None
@@ -37,19 +36,19 @@
         sock = conn.sock
 
 
-@then("both answers are whole")
-def whole(ctx):
+@then("both answers are complete")
+def check_complete(ctx):
     assert [status for status, _ in ctx["answers"]] == [200, 200]
     assert all(doc["usage"]["completion_tokens"] == 2 for _, doc in ctx["answers"])
 
 
-class OnceHandler(BaseHTTPRequestHandler):
-    """Answers the first call of a connection and resets it on the second."""
+class SingleRequestHandler(BaseHTTPRequestHandler):
+    """Handler that answers the first request of a connection and closes it on the second."""
 
     protocol_version = "HTTP/1.1"
     calls = 0
 
-    def do_POST(self) -> None:  # noqa: N802 - the name is http.server's
+    def do_POST(self) -> None:  # noqa: N802 - name required by http.server
         self.calls += 1
         self.rfile.read(int(self.headers.get("Content-Length", 0)))
         if self.calls > 1:
@@ -61,21 +60,22 @@
         self.wfile.write(b"{}")
 
     def log_message(self, *_args) -> None:
-        """Keep the test's output clean."""
+        """Do not log requests to the test's output."""
 
 
-@given("a target that resets the second call of every connection", target_fixture="target_url")
+@given("a target that closes every connection on its second request", target_fixture="target_url")
 def target():
-    server = ThreadingHTTPServer(("127.0.0.1", 0), OnceHandler)
+    server = ThreadingHTTPServer(("127.0.0.1", 0), SingleRequestHandler)
     Thread(target=server.serve_forever, daemon=True).start()
     yield f"http://127.0.0.1:{server.server_port}/book"
     server.shutdown()
 
 
-@when("two orders are sent to it one after the other")
-def send_two(target_url, ctx):
-    # The target drops the kept connection just as the second order is written to it. The caller
-    # would be told "outcome unknown" for an order that never ran, and have to look it up.
+@when("two non-idempotent requests are sent to it one after the other")
+def send_two_orders(target_url, ctx):
+    # The target closes the idle connection just as the second request is written to it. Sent on
+    # that connection, the request would end as "outcome unknown" although it never ran, and the
+    # caller would have to find out what happened to it.
     upstream = Upstream()
     ctx["answers"] = []
     for _ in range(2):
@@ -85,5 +85,5 @@
 
 
 @then("both are answered")
-def answered(ctx):
+def check_answered(ctx):
     assert ctx["answers"] == [(200, b"{}")] * 2
--- a/tests/router/test_drain_retry.py
+++ b/tests/router/test_drain_retry.py
@@ -42,30 +42,32 @@
     return msg.reply.result(timeout=5)
 
 
-@given("a dispatcher that granted a request its first try", target_fixture="dispatcher")
-def granted(ctx):
+@given("a dispatcher that granted a slot to a request's first attempt", target_fixture="dispatcher")
+def dispatcher_with_grant(ctx):
     dispatcher = Dispatcher.start(NodeId("r0"), 1, ConfigSnapshot())
     dispatcher.tell(ConfigApplied(CONFIG))
-    ctx["first"] = _admit(dispatcher, "r1")
+    ctx["first_grant"] = _admit(dispatcher, "r1")
     yield dispatcher
     dispatcher.stop()
 
 
-@when("the drain begins and the try ends without reaching its target")
+@when("the drain begins and the attempt ends without reaching its target")
 def drain(dispatcher, ctx):
-    # The caller's request was accepted; its target has just crashed. Between its two tries it
-    # is neither waiting nor in flight: refused now, a planned stop would have cut it.
+    # The target of an accepted request has just crashed. Between its two attempts the request is
+    # neither queued nor in flight. Refusing its retry would lose it because of a planned stop.
     dispatcher.tell(Drain())
-    dispatcher.tell(Finished(RequestId("r1"), DEPOT, ctx["first"].target, 1.0, 0.0, reached=False))
+    dispatcher.tell(
+        Finished(RequestId("r1"), DEPOT, ctx["first_grant"].target, 1.0, 0.0, target_reached=False)
+    )
 
 
-@then("the retry is granted the other target")
-def retried(dispatcher, ctx):
-    grant = _admit(dispatcher, "r1", frozenset({ctx["first"].target}), retry=True)
-    assert grant.target != ctx["first"].target
+@then("the retry is granted a slot on the other target")
+def check_retry_granted(dispatcher, ctx):
+    grant = _admit(dispatcher, "r1", frozenset({ctx["first_grant"].target}), retry=True)
+    assert grant.target != ctx["first_grant"].target
 
 
 @then("a new request is refused as draining")
-def refused(dispatcher):
+def check_new_request_refused(dispatcher):
     with pytest.raises(Draining):
         _admit(dispatcher, "r2")
--- a/tests/router/test_front_limits.py
+++ b/tests/router/test_front_limits.py
@@ -1,4 +1,4 @@
-"""Floods larger than the front, and callers that hang up."""
+"""Floods larger than the front's thread pool, and callers that disconnect."""
 
 import json
 import time
@@ -21,9 +21,9 @@
     target_fixture="fleet",
 )
 def small_front(start_fleet, threads, a, b):
-    # Each caller's connection holds one thread of the front while its request waits. If the
-    # flooding team's requests hold them all, the small team's wait outside, unseen by the fair
-    # queue, in order of arrival behind sixty others.
+    # A waiting request occupies one thread of the front. If the flooding team occupies all of
+    # them, the small team's requests wait before the fair queue, in order of arrival behind sixty
+    # others.
     return start_fleet(
         engines=1,
         engine_slots=2,
@@ -35,19 +35,19 @@
     )
 
 
-@then("every refusal came within 1 second and said not run with Retry-After")
-def refusals(ctx):
+@then('every refusal was "not_run" with Retry-After and arrived within 1 second')
+def check_refusals(ctx):
     refused = [out for out in ctx["callers"].outcomes if not out.ok]
-    assert refused, "the flood was never refused"
+    assert refused, "no request of the flood was refused"
     for out in refused:
         assert out.error == "not_run" and out.retry_after and out.total_s < 1.0, out
 
 
-@when("2 callers ask for 2000 tokens and hang up after the first")
-def hang_up(fleet):
-    # The callers are gone, but their answers would go on for five seconds. A connection given
-    # back to the pool with an answer half read keeps the engine's slot busy, and the next
-    # request sent over it runs without anyone reading its answer.
+@when("2 callers request 2000 tokens and disconnect after the first")
+def disconnect(fleet):
+    # Without the callers, their answers would still be generated for five seconds. If the router
+    # returns a connection with a partly read answer to its pool, the engine's slot stays busy, and
+    # nobody reads the answer to the next request sent on that connection.
     body = json.dumps(
         {"max_tokens": 2000, "stream": True, "messages": [{"role": "user", "content": "plan"}]}
     )
@@ -63,17 +63,17 @@
         resp.close()
 
 
-@then("within 2 seconds the engine runs nothing")
-def engine_idle(fleet):
+@then("within 2 seconds the engine is idle")
+def check_engine_idle(fleet):
     deadline = time.monotonic() + 2
     while fleet.get_json("engine-0", "/admin/stats")["running"]:
-        assert time.monotonic() < deadline, "the engine still runs answers nobody reads"
+        assert time.monotonic() < deadline, "the engine still generates answers that nobody reads"
         time.sleep(0.05)
 
 
-@then("the next 10 answers are whole and each ran once")
-def whole_once(fleet):
+@then("the next 10 answers are complete and each request ran once")
+def check_next_answers(fleet):
     url = fleet.routers()[0].url
     outcomes = [call_stream(HTTP, url, "small", 5) for _ in range(10)]
-    ran = fleet.get_json("engine-0", "/admin/stats")["executions"]
-    assert all(out.ok and ran[out.req_id] == 1 for out in outcomes), (outcomes, ran)
+    executions = fleet.get_json("engine-0", "/admin/stats")["executions"]
+    assert all(out.ok and executions[out.req_id] == 1 for out in outcomes), (outcomes, executions)
--- a/tests/router/test_given_up.py
+++ b/tests/router/test_given_up.py
@@ -1,4 +1,4 @@
-"""Refusals are final, prompt, true and say when to come back."""
+"""Refusals of requests that a router can't serve: final, prompt, truthful and with Retry-After."""
 
 import threading
 
@@ -14,7 +14,7 @@
 @given(
     parsers.parse(
         "a fleet of 1 router and 1 engine with 1 slot, a queue timeout of "
-        "{timeout:d} second and {depth:d} waiting per team"
+        "{timeout:d} second and at most {depth:d} waiting requests per team"
     ),
     target_fixture="fleet",
 )
@@ -32,45 +32,45 @@
 
 @when(
     parsers.parse(
-        "{callers:d} callers of one team each ask for an answer of {tokens:d} tokens at once"
+        "{callers:d} callers of one team each request an answer of {tokens:d} tokens at once"
     )
 )
 def flood(fleet, ctx, callers, tokens):
-    # Callers past the queue's depth are refused at once (429); those queued past the
-    # timeout are given up when it passes (503). Both say not_run and Retry-After and are
-    # sent at once; the engine must never have run them.
+    # Requests beyond the queue's depth are refused immediately (429), and queued requests when
+    # the queue timeout expires (503). Both refusals say "not_run" with Retry-After, so the engine
+    # must never have run these requests.
     url = fleet.routers()[0].url
     outcomes = []
     lock = threading.Lock()
 
-    def one() -> None:
-        out = call_stream(urllib3.PoolManager(retries=False), url, "depot", tokens)
+    def send_request() -> None:
+        outcome = call_stream(urllib3.PoolManager(retries=False), url, "depot", tokens)
         with lock:
-            outcomes.append(out)
+            outcomes.append(outcome)
 
-    threads = [threading.Thread(target=one) for _ in range(callers)]
-    for thr in threads:
-        thr.start()
-    for thr in threads:
-        thr.join(60)
+    threads = [threading.Thread(target=send_request) for _ in range(callers)]
+    for thread in threads:
+        thread.start()
+    for thread in threads:
+        thread.join(60)
     ctx["outcomes"] = outcomes
     ctx["executions"] = fleet.get_json("engine-0", "/admin/stats")["executions"]
 
 
 @then(
     parsers.parse(
-        "the history keeps every promise, with refusals within {limit:f} seconds "
-        "and no wait past the timeout"
+        "the history is consistent, with refusals within {limit:f} seconds "
+        "and no wait beyond the queue timeout"
     )
 )
-def history_ok(ctx, limit):
-    bad = check_history(
+def check_request_history(ctx, limit):
+    violations = check_history(
         ctx["outcomes"], ctx["executions"], answer_within_s=limit, queue_timeout_s=1.0
     )
-    assert not bad, bad
+    assert not violations, violations
 
 
-@then("some answers are whole and some are refused as not run")
-def mixed(ctx):
-    assert any(o.ok for o in ctx["outcomes"])
-    assert any(o.error == "not_run" for o in ctx["outcomes"])
+@then("some answers are complete and some requests are refused as not run")
+def check_mixed_outcomes(ctx):
+    assert any(outcome.ok for outcome in ctx["outcomes"])
+    assert any(outcome.error == "not_run" for outcome in ctx["outcomes"])
--- a/tests/router/test_late_broker.py
+++ b/tests/router/test_late_broker.py
@@ -1,4 +1,4 @@
-"""A broker that answers late must not cost a router its peers."""
+"""Tests for the peer link of a router whose broker answers late."""
 
 import socket
 import time
@@ -16,15 +16,15 @@
 
 
 class LateBroker(pykka.ThreadingActor):
-    """Answers its first question after the asker's patience."""
+    """Answers its first query only after the query has timed out."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.asked = 0
+        self.query_count = 0
 
     def on_receive(self, message):
-        self.asked += 1
-        if self.asked == 1:
+        self.query_count += 1
+        if self.query_count == 1:
             time.sleep(2.5)
         return RouterSummary("r1", 1, 3, [], {}, [])
 
@@ -41,18 +41,18 @@
     pykka.ActorRegistry.stop_all()
 
 
-def test_router_whose_broker_is_late_tells_its_peers_afterwards(actors, monkeypatch):
-    # A machine is slow or was frozen, and the broker's mailbox is longer than the link's patience.
-    # The error ended the link: the router heard no peer any more, nobody heard it, and it went on
-    # by what it last knew of them.
+def test_peer_link_survives_late_broker(actors, monkeypatch):
+    # On a slow or frozen machine the broker's inbox takes longer than the peer link's query
+    # timeout. The error stopped the link: the router neither sent nor received gossip any more and
+    # kept using the last known state of its peers.
     gateway = Gateway.__new__(Gateway)
     gateway._broker = LateBroker.start()
     gateway._copy = PublishedCopy()
     gateway._readers = StoreReaders(NodeId("r1"), ZoneId("z1"))
     first, second = free_port(), free_port()
-    ended = []
-    monkeypatch.setattr("os._exit", ended.append)
-    heard = []
+    exit_statuses = []
+    monkeypatch.setattr("os._exit", exit_statuses.append)
+    received = []
     links = [
         PeerLink.start(
             NodeId(name),
@@ -61,18 +61,18 @@
             f"tcp://127.0.0.1:{port}",
             "127.0.0.1:1",
             [f"tcp://127.0.0.1:{seed}"],
-            own_summary=summary,
+            build_summary=summary,
             on_peer=on_peer,
             on_members=lambda members: None,
         )
         for name, port, seed, summary, on_peer in (
             ("r1", first, second, gateway._own_summary, lambda message: None),
-            ("r2", second, first, lambda: None, heard.append),
+            ("r2", second, first, lambda: None, received.append),
         )
     ]
-    until = time.monotonic() + 8
-    while not heard and time.monotonic() < until:
+    deadline = time.monotonic() + 8
+    while not received and time.monotonic() < deadline:
         links[0].tell(Tick("peers", time.monotonic()))
         time.sleep(0.2)
-    assert heard
-    assert not ended
+    assert received
+    assert not exit_statuses
--- a/tests/router/test_late_dispatcher.py
+++ b/tests/router/test_late_dispatcher.py
@@ -1,4 +1,4 @@
-"""A dispatcher that answers late must not cost a router its heartbeats or its view of the load."""
+"""Load polling when the dispatcher answers late."""
 
 import time
 
@@ -10,7 +10,7 @@
 
 
 class LateDispatcher(pykka.ThreadingActor):
-    """Answers after the asker's patience."""
+    """Dispatcher that answers only after the query's timeout."""
 
     def on_receive(self, message):
         time.sleep(2.5)
@@ -23,9 +23,12 @@
     pykka.ActorRegistry.stop_all()
 
 
-def test_load_poller_goes_on_after_a_late_answer(actors):
-    # The dispatcher's machine was frozen while a poll was asked for. The error of the late answer
-    # ended the poller: the router never heard of any target's load again.
+def test_load_poller_survives_a_late_answer(actors):
+    """Guards against a poller that is ended by a timeout error.
+
+    When the dispatcher's machine was frozen during a query, the timeout raised in the poller
+    stopped it, and the router received no load report of any target any more.
+    """
     poller = LoadPoller.start(LateDispatcher.start())
     poller.tell(Tick("load", time.monotonic()))
     time.sleep(2.4)
--- a/tests/router/test_operator_race.py
+++ b/tests/router/test_operator_race.py
@@ -1,4 +1,4 @@
-"""Operators racing on the configuration text."""
+"""Operators who publish configurations at the same time."""
 
 import re
 import time
@@ -13,12 +13,12 @@
     return start_fleet(engines=1, routers=3, services=0, teams={"depot": 1.0})
 
 
-@when("one operator publishes a valid text and another at once publishes an invalid one")
-def race(fleet, ctx):
-    # Callers never see the invalid text: every router rejects it. A router whose watch
-    # returned only after both were published sees just the invalid revision and would
-    # stay on the old text while its peers use the new one; heartbeats tell it a newer
-    # valid version exists, and it fetches it from a peer.
+@when("one operator publishes a valid configuration and another immediately an invalid one")
+def publish_both(fleet, ctx):
+    # Every router rejects the invalid configuration. A router whose long poll returns only after
+    # both were published reads just the invalid revision, and would keep the old configuration
+    # while its peers use the new one. It learns of the newer version from their heartbeats and
+    # fetches it from a peer.
     valid = dict(fleet.config, limits={**fleet.config["limits"], "retry_after_s": 3.0})
     invalid = dict(fleet.config, teams=[{"id": "depot", "weight": -1}])
     ctx["valid"] = fleet.post_json("config", "/admin/publish", valid)["version"]
@@ -33,26 +33,25 @@
 
 @when("the configuration service comes back")
 def service_back(fleet, ctx):
-    # The routers never saw the valid revision: the first text they can read is the
-    # invalid one. Taking the newest valid revision means reading back through the
-    # service's history, which the platform keeps and serves read-only.
+    # No router has read the valid revision, and the newest one is invalid. To find the newest
+    # valid revision, the routers must read earlier ones, which the service keeps.
     fleet.post_json("config", "/admin/mode", {"mode": "ok"})
     ctx["published"] = time.monotonic()
 
 
-@then("within 6 seconds every router has the valid text in force")
-def everywhere(fleet, ctx):
+@then("within 6 seconds the valid configuration is active on every router")
+def check_active_everywhere(fleet, ctx):
     deadline = ctx["published"] + 6.0
     while time.monotonic() < deadline:
         versions = [fleet.get_json(p.name, "/status")["config_version"] for p in fleet.routers()]
-        if all(v == ctx["valid"] for v in versions):
+        if all(version == ctx["valid"] for version in versions):
             return
         time.sleep(0.1)
-    raise AssertionError(f"versions in force: {versions}, want {ctx['valid']}")
+    raise AssertionError(f"active versions: {versions}, expected {ctx['valid']}")
 
 
-@then("no router ever logged a configuration in force below one it had before")
-def no_revert(fleet):
+@then("no router has logged an active version older than an earlier one")
+def check_never_reverted(fleet):
     for proc in fleet.routers():
         text = (fleet.dir / f"{proc.name}.log").read_text()
         versions = [int(v) for v in re.findall(r"event=config_in_force version=(\d+)", text)]
--- /dev/null
+++ b/tests/router/test_placement_client.py
@@ -0,0 +1,360 @@
+"""Tests for placement through a remote scheduler and the fallback to the local broker."""
+
+import time
+
+import pykka
+import pytest
+
+from turmerictray.admission.pool import Outcome
+from turmerictray.core.errors import CallerGone, Draining, NoTarget, QueueFull, WontBeServed
+from turmerictray.core.ids import NodeId, RequestId, ServiceName, TargetId, TeamId, ZoneId
+from turmerictray.core.reply import Reply
+from turmerictray.membership.messages import MemberEntry
+from turmerictray.router.broker_messages import Ask, FirstEvent, Granted, Settled, Withdraw
+from turmerictray.router.placement_client import SCHEDULER_TIMEOUT_S, PlacementClient
+from turmerictray.router.scheduler import Scheduler
+from turmerictray.router.text_in_force import TextInForce
+from turmerictray.routing.load import TargetInfo
+from turmerictray.routing.prompt import PartId, Prompt, PromptPart
+from turmerictray.scheduling.choice import SchedulerChoice
+from turmerictray.scheduling.messages import (
+    Ended,
+    LookNow,
+    PlaceGranted,
+    PlaceRefused,
+    PlaceRequest,
+    StillWaiting,
+)
+from turmerictray.scheduling.shards import UNSHARDED, ShardMap
+
+LLM = ServiceName("llm")
+ENGINE = TargetInfo(TargetId("e1"), LLM, "10.0.0.1:80", ZoneId("z"), 64)
+PROMPT = Prompt((PromptPart(PartId("shared"), 900), PromptPart(PartId("own"), 100)), 1000, 10)
+
+
+class FakeBroker:
+    def __init__(self) -> None:
+        self.messages = []
+
+    def tell(self, msg) -> None:
+        self.messages.append(msg)
+
+    def asks(self) -> list[Ask]:
+        return [msg for msg in self.messages if isinstance(msg, Ask)]
+
+
+class FakeLink:
+    """Delivers messages to the remote handler synchronously, unless partitioned."""
+
+    def __init__(self, address: str) -> None:
+        self.address = address
+        self.sent = []
+        self.deliver = None
+        self.is_partitioned = False
+        self.fails = False
+        self.on_redial = lambda: None
+
+    def send(self, address: str, message) -> bool:
+        if self.fails:
+            return False
+        self.sent.append(message)
+        if address == self.address:
+            return True
+        if self.deliver is not None and not self.is_partitioned:
+            self.deliver(message)
+        return True
+
+    def is_connected(self, address: str) -> bool:
+        return bool(self.sent)
+
+    def reconnect(self, address: str) -> None:
+        self.sent.clear()
+        self.on_redial()
+
+
+class Pair:
+    """A router's placement client and the scheduler that it asks."""
+
+    def __init__(self) -> None:
+        entries = [
+            MemberEntry(node, "z", f"tcp://{node}:1", 1, 20, False, f"tcp://{node}:2")
+            for node in ("client", "scheduler")
+        ]
+        self.choice = SchedulerChoice(NodeId("client"), ZoneId("z"))
+        self.choice.set_members(entries[1:])
+        self.local_broker, self.remote_broker = FakeBroker(), FakeBroker()
+        self.to_scheduler, self.to_client = FakeLink("tcp://client:2"), FakeLink(
+            "tcp://scheduler:2"
+        )
+        self.in_force = TextInForce()
+        self.client = PlacementClient(
+            NodeId("client"),
+            ZoneId("z"),
+            self.local_broker,
+            self.in_force,
+            self.choice,
+            self.to_scheduler,
+        )
+        self.scheduler = Scheduler(NodeId("scheduler"), self.remote_broker, self.to_client)
+        self.to_scheduler.deliver, self.to_client.deliver = (
+            self.scheduler.handle_message,
+            self.client.handle_message,
+        )
+
+    def ask(self, call_id: int = 7, prompt: Prompt | None = PROMPT) -> Ask:
+        now = time.monotonic()
+        ask = Ask(
+            call_id,
+            RequestId("q"),
+            TeamId("t"),
+            LLM,
+            1020.0,
+            prompt,
+            now + 1,
+            Reply(),
+            answer_deadline=now + 5,
+        )
+        self.client.tell(ask)
+        return ask
+
+    def grant(self) -> None:
+        reply = self.remote_broker.asks()[-1].reply
+        reply.set_running_or_notify_cancel()
+        reply.set_result(Granted(ENGINE, 0.1, 100, 0, fetch_from="10.0.0.2:80"))
+
+    def refuse(self, exc: Exception) -> None:
+        reply = self.remote_broker.asks()[-1].reply
+        reply.set_running_or_notify_cancel()
+        reply.set_exception(exc)
+
+    def time_out_scheduler(self) -> None:
+        """Run the check for silent schedulers: a tick, then the loopback message."""
+        now = time.monotonic() + SCHEDULER_TIMEOUT_S + 0.1
+        self.client.request_silence_check(now)
+        self.client.handle_message(LookNow(now))
+
+
+@pytest.fixture
+def pair():
+    return Pair()
+
+
+def test_scheduler_grants_and_settles_request(pair):
+    ask = pair.ask()
+    assert pair.remote_broker.asks()[0].prompt == PROMPT
+    assert pair.remote_broker.asks()[0].origin == "client"
+    pair.grant()
+    granted = ask.reply.result(0)
+    assert (granted.target, granted.scheduler) == (ENGINE, "scheduler")
+    assert granted.fetch_from == "10.0.0.2:80"
+    pair.client.tell(FirstEvent(7, LLM, ENGINE.id, 0.2))
+    pair.client.tell(Settled(7, LLM, ENGINE.id, Outcome.DONE, 1020.0))
+    assert pair.remote_broker.messages[1:] == [
+        FirstEvent(7, LLM, ENGINE.id, 0.2),
+        Settled(7, LLM, ENGINE.id, Outcome.DONE, 1020.0),
+    ]
+    assert pair.local_broker.messages == []
+
+
+def test_plain_service_request_is_placed_locally(pair):
+    pair.ask(prompt=None)
+    assert len(pair.local_broker.asks()) == 1
+    assert pair.to_scheduler.sent == []
+
+
+def test_refusal_is_passed_to_caller_unchanged(pair):
+    ask = pair.ask()
+    pair.refuse(QueueFull("queue_full", 0.7))
+    error = ask.reply.exception(0)
+    assert (type(error), error.reason, error.retry_after) == (QueueFull, "queue_full", 0.7)
+
+
+def test_unresponsive_scheduler_delays_request_only_briefly(pair):
+    # The scheduler is killed, partitioned or frozen with the request in its queue, and the
+    # connection reports no error. Without the fallback to the local broker, the caller would wait
+    # until its deadline.
+    pair.to_scheduler.is_partitioned = True
+    ask = pair.ask()
+    pair.time_out_scheduler()
+    assert pair.local_broker.asks() == [ask]
+    assert pair.choice.scheduler(LLM) is None
+
+
+def test_scheduler_that_sends_keepalives_is_waited_for(pair):
+    ask = pair.ask()
+    pair.scheduler.send_keepalives(0.0)
+    now = time.monotonic() + SCHEDULER_TIMEOUT_S / 2
+    pair.client.request_silence_check(now)
+    pair.client.handle_message(LookNow(now))
+    assert pair.local_broker.asks() == []
+    assert not ask.reply.done()
+
+
+def test_unreachable_scheduler_is_skipped(pair):
+    pair.to_scheduler.fails = True
+    ask = pair.ask()
+    assert pair.local_broker.asks() == [ask]
+
+
+def test_late_grant_is_returned(pair):
+    # The scheduler is only slow, so its grant arrives after the request was placed elsewhere. If
+    # the grant were never settled, an idle engine would look busy to other callers.
+    pair.ask()
+    pair.time_out_scheduler()
+    pair.grant()
+    assert pair.to_scheduler.sent[-1] == Ended(7, LLM, ENGINE.id, Outcome.CALLER_GONE.value, 0.0)
+    assert pair.remote_broker.messages[-1] == Settled(7, LLM, ENGINE.id, Outcome.CALLER_GONE, 0.0)
+
+
+def test_grant_for_cancelled_request_is_returned(pair):
+    ask = pair.ask()
+    assert ask.reply.cancel()
+    pair.grant()
+    assert isinstance(pair.to_scheduler.sent[-1], Ended)
+
+
+def test_duplicate_grant_is_returned(pair):
+    ask = pair.ask()
+    pair.grant()
+    granted = next(m for m in pair.to_client.sent if isinstance(m, PlaceGranted))
+    pair.client.handle_message(granted)
+    assert ask.reply.result(0).target == ENGINE
+    assert isinstance(pair.to_scheduler.sent[-1], Ended)
+
+
+def test_request_of_disconnected_caller_is_withdrawn(pair):
+    ask = pair.ask()
+    pair.client.tell(Withdraw(7, LLM))
+    assert isinstance(ask.reply.exception(0), CallerGone)
+    assert pair.remote_broker.messages[-1] == Withdraw(7, LLM)
+
+
+def test_grant_of_leaving_target_is_returned(pair):
+    # The scheduler is partitioned from the store and grants a target that has been published as
+    # leaving. This router has read the newer entry and must not send work there.
+    pair.in_force.leaving = frozenset({ENGINE.id})
+    ask = pair.ask()
+    pair.grant()
+    assert not ask.reply.done()
+    assert pair.local_broker.asks() == [ask]
+    assert isinstance(pair.to_scheduler.sent[-1], Ended)
+
+
+def test_request_is_placed_locally_if_scheduler_knows_no_target(pair):
+    ask = pair.ask()
+    pair.refuse(NoTarget("no_target", 0.5))
+    assert pair.local_broker.asks() == [ask]
+    assert not ask.reply.done()
+
+
+def test_answer_to_unknown_request_is_ignored(pair):
+    pair.client.handle_message(PlaceRefused(99, "scheduler", "QueueFull", "queue_full", 0.1))
+    assert pair.local_broker.messages == []
+
+
+def test_only_first_request_reports_new_connection(pair):
+    pair.ask()
+    (request,) = [m for m in pair.to_scheduler.sent if isinstance(m, PlaceRequest)]
+    assert request.reconnected
+    pair.ask(8)
+    assert not pair.to_scheduler.sent[-1].reconnected
+
+
+def test_grant_during_scheduler_timeout_is_the_only_answer(pair):
+    # A slow scheduler's grant arrived on the link's thread while another thread was passing the
+    # requests waiting there to the local broker. The broker granted the same request again, the
+    # second result of the future raised in the actor and the process exited: all callers of this
+    # router saw resets and 5xx responses.
+    ask = pair.ask()
+    pair.to_scheduler.on_redial = pair.grant
+    pair.time_out_scheduler()
+    assert ask.reply.result(0).target == ENGINE
+    assert pair.local_broker.asks() == []
+
+
+def test_request_withdrawn_during_scheduler_timeout_is_not_placed(pair):
+    ask = pair.ask()
+    pair.to_scheduler.on_redial = lambda: pair.client.tell(Withdraw(7, LLM))
+    pair.time_out_scheduler()
+    assert isinstance(ask.reply.exception(0), CallerGone)
+    assert pair.local_broker.asks() == []
+
+
+@pytest.fixture
+def sharded_pair(pair):
+    pair.in_force.shards = {LLM: ShardMap(TargetId(f"e{n}") for n in range(45))}
+    return pair
+
+
+def test_request_refused_by_full_shard_is_sent_to_another(sharded_pair):
+    # The prompt's shard is overloaded, and its scheduler knows no engines of other shards. Without
+    # a second attempt the caller is refused while a third of the engines has capacity.
+    ask = sharded_pair.ask()
+    sharded_pair.refuse(WontBeServed("wait_too_long", 0.4))
+    first, second = sharded_pair.remote_broker.asks()
+    assert first.shard != second.shard
+    assert not ask.reply.done()
+    sharded_pair.grant()
+    assert ask.reply.result(0).target == ENGINE
+
+
+def test_request_refused_by_all_shards_is_refused(sharded_pair):
+    ask = sharded_pair.ask()
+    sharded_pair.refuse(WontBeServed("wait_too_long", 0.4))
+    sharded_pair.refuse(WontBeServed("wait_too_long", 0.3))
+    assert isinstance(ask.reply.exception(0), WontBeServed)
+
+
+def test_slow_scheduler_is_skipped_like_a_dead_one(sharded_pair):
+    # The scheduler handles messages seconds late, and the connection reports no error. Its late
+    # grant must neither become a second answer nor keep an engine busy.
+    sharded_pair.to_scheduler.is_partitioned = True
+    ask = sharded_pair.ask()
+    late = next(msg for msg in sharded_pair.to_scheduler.sent if isinstance(msg, PlaceRequest))
+    sharded_pair.time_out_scheduler()
+    assert sharded_pair.local_broker.asks()[0].shard == UNSHARDED
+    sharded_pair.local_broker.asks()[0].reply.give(Granted(ENGINE, 0.1, 100, 0))
+    sharded_pair.to_scheduler.is_partitioned = False
+    sharded_pair.scheduler.handle_message(late)
+    sharded_pair.grant()
+    assert ask.reply.result(0).scheduler == ""
+    assert sharded_pair.remote_broker.messages[-1] == Settled(
+        7, LLM, ENGINE.id, Outcome.CALLER_GONE, 0.0
+    )
+
+
+class DeadBroker:
+    def tell(self, msg) -> None:
+        raise pykka.ActorDeadError("gone")
+
+
+def test_request_is_refused_as_draining_if_broker_has_stopped(pair):
+    # The process exits and restarts within a second. Callers that arrived meanwhile got a 500,
+    # which does not say whether their non-idempotent requests had run.
+    pair.client._broker = DeadBroker()
+    ask = pair.ask(prompt=None)
+    assert isinstance(ask.reply.exception(0), Draining)
+    pair.client.tell(Settled(7, LLM, ENGINE.id, Outcome.DONE, 1020.0))
+
+
+def test_overloaded_router_does_not_skip_responsive_scheduler(pair):
+    """Guards against an overloaded router that handles replies late and places all by itself."""
+    ask = pair.ask()
+    now = time.monotonic()
+    pair.client.request_silence_check(now)
+    loopback = [msg for msg in pair.to_scheduler.sent if isinstance(msg, LookNow)]
+    pair.client.request_silence_check(now + 0.4)
+    assert pair.local_broker.asks() == []
+    pair.client.handle_message(StillWaiting("scheduler"))
+    pair.client.handle_message(loopback[0])
+    assert pair.local_broker.asks() == []
+    assert not ask.reply.done()
+
+
+def test_lost_loopback_message_is_resent(pair):
+    pair.ask()
+    now = time.monotonic()
+    pair.client.request_silence_check(now)
+    pair.client.request_silence_check(now + 0.05)
+    pair.client.request_silence_check(now + 2.0)
+    assert [m.sent_at for m in pair.to_scheduler.sent if isinstance(m, LookNow)] == [now, now + 2.0]
--- a/tests/router/test_pool_gauges.py
+++ b/tests/router/test_pool_gauges.py
@@ -1,4 +1,4 @@
-"""What operators are told of the pools of engines."""
+"""Tests for the metrics of engine pools."""
 
 import time
 
@@ -7,14 +7,14 @@
 from turmerictray.router.pool_gauges import PoolGauges
 
 
-def test_pace_and_idle_engines_are_told_for_each_shard(broker):  # noqa: F811
+def test_throughput_and_idle_engines_are_reported_per_shard(broker):  # noqa: F811
     gauges, now = PoolGauges(), time.monotonic()
-    pool = broker.pools.of(LLM, SHARD)
+    pool = broker.pools.for_shard(LLM, SHARD)
     members = len(pool.targets.loads)
-    gauges.tell([(SHARD, pool)], now)
+    gauges.report([(SHARD, pool)], now)
     for call_id in range(3):
         ask(broker, call_id, SHARD)
-    gauges.tell([(SHARD, pool)], now)
+    gauges.report([(SHARD, pool)], now)
     assert 0 < members < len(INFOS)
     assert metrics.ENGINES_IDLE.labels(LLM, "1/2")._value.get() == members - 3
     state = pool.state(now)
@@ -22,6 +22,6 @@
     assert state.sent > 0
 
 
-def test_a_second_has_to_pass_between_two_tellings():
+def test_reports_are_at_least_a_second_apart():
     gauges = PoolGauges()
     assert [gauges.is_due(now) for now in (1.0, 1.5, 2.1)] == [True, False, True]
--- a/tests/router/test_queue_timeout.py
+++ b/tests/router/test_queue_timeout.py
@@ -1,4 +1,4 @@
-"""No request begins after its queue timeout, however late the router's threads are."""
+"""The queue timeout holds even when the router's threads are delayed."""
 
 import json
 import time
@@ -41,7 +41,7 @@
 
 @pytest.fixture
 def dispatcher():
-    """One that no timer ticks."""
+    """A ready dispatcher that receives no timer ticks."""
     ref = Dispatcher.start(
         NodeId("r0"), 1, ConfigSnapshot(), peer_timeout_s=60.0, expected_peers={"r1"}
     )
@@ -58,45 +58,45 @@
     return msg
 
 
-def test_a_slot_that_comes_free_is_not_given_to_a_request_whose_time_is_over(dispatcher):
-    """Guards against a grant between the timeout and the tick that gives requests up."""
+def test_free_slot_is_not_granted_to_a_timed_out_request(dispatcher):
+    """Guards against a grant between a request's timeout and the tick that expires requests."""
     assert admit(dispatcher, "first").reply.result(5).target == TARGET
-    late = admit(dispatcher, "late")
+    timed_out = admit(dispatcher, "late")
     time.sleep(TIMEOUT_S + 0.1)
     in_time = admit(dispatcher, "in_time")
     dispatcher.tell(finished("first"))
     with pytest.raises(QueueTimeout):
-        late.reply.result(5)
+        timed_out.reply.result(5)
     assert in_time.reply.result(5).target == TARGET
 
 
-def test_the_timeout_counts_from_the_request_and_not_from_the_queue(dispatcher):
-    """Guards against a wait before the dispatcher's mailbox that nobody counts."""
+def test_timeout_starts_when_the_request_arrives(dispatcher):
+    """Guards against a timeout that excludes the wait in the dispatcher's mailbox."""
     msg = admit(dispatcher, "old", arrived=time.monotonic() - TIMEOUT_S - 0.01)
     with pytest.raises(QueueTimeout):
         msg.reply.result(5)
 
 
-class LateGrants:
-    """Grants in time; the asking thread hears of it late."""
+class DelayedThreadDispatcher:
+    """Dispatcher that grants in time but delays the requesting thread beyond the timeout."""
 
     def __init__(self) -> None:
-        self.told = []
+        self.received = []
 
     def tell(self, msg: object) -> None:
-        self.told.append(msg)
+        self.received.append(msg)
         if isinstance(msg, Admit):
             msg.reply.give(Grant(TARGET, "http://e0", 1))
             time.sleep(TIMEOUT_S + 0.05)
 
 
-def test_a_grant_that_is_heard_after_the_timeout_is_given_back():
-    """Guards against a request that is sent late as its thread wakes up late."""
-    dispatcher = LateGrants()
+def test_grant_seen_after_the_timeout_is_released():
+    """Guards against a request that is sent after its timeout by a delayed thread."""
+    dispatcher = DelayedThreadDispatcher()
     proxy = Proxy(dispatcher, upstream=None, guard=None, node="r0")
     req = CallerRequest(
         RequestId("q"), DEPOT, LLM, ServiceKind.MODEL, b"{}", 1.0, None, True, "/", False
     )
     with pytest.raises(QueueTimeout):
         proxy.serve(req, config())
-    assert dispatcher.told[-1] == Finished(RequestId("q"), DEPOT, TARGET, 1.0, 0.0, True)
+    assert dispatcher.received[-1] == Finished(RequestId("q"), DEPOT, TARGET, 1.0, 0.0, True)
--- a/tests/router/test_room_in_front.py
+++ b/tests/router/test_room_in_front.py
@@ -13,13 +13,13 @@
 from turmerictray.router.flow import RequestFlow
 from turmerictray.router.gateway_settings import THREADS
 from turmerictray.router.run import Parts
-from turmerictray.routing.prompt import Part, PartId, Prompt
+from turmerictray.routing.prompt import PartId, Prompt, PromptPart
 from turmerictray.transport.exchange import RequestHead
 from turmerictray.transport.hangup import HangUpWatch
 from turmerictray.transport.server import FrontServer
 
 STREAMS = 300
-PROMPT = Prompt((Part(PartId("p"), 900),), 900, 50)
+PROMPT = Prompt((PromptPart(PartId("p"), 900),), 900, 50)
 
 
 def test_a_plain_call_is_answered_beside_three_hundred_streams():
--- a/tests/router/test_shard_pools.py
+++ b/tests/router/test_shard_pools.py
@@ -1,4 +1,4 @@
-"""The broker of a router that schedules one shard of a service's engines."""
+"""Tests for the broker of a router that schedules one shard of a service's engines."""
 
 import time
 
@@ -21,7 +21,7 @@
 )
 from turmerictray.router.text_in_force import RepeatLimits, TextInForce
 from turmerictray.routing.load import TargetInfo
-from turmerictray.routing.prompt import Part, PartId, Prompt
+from turmerictray.routing.prompt import PartId, Prompt, PromptPart
 from turmerictray.scheduling.messages import ServiceGiven
 from turmerictray.scheduling.shards import ShardId, shard_index
 
@@ -34,14 +34,16 @@
 @pytest.fixture
 def broker():
     broker = Broker(NodeId("r1"), ZoneId("z"), 1, TextInForce(), RepeatLimits())
-    broker.pools.whole(LLM).targets.set_spec(ServiceSpec(LLM, EngineSpec(1, 600_000)))
+    broker.pools.unsharded(LLM).targets.set_spec(ServiceSpec(LLM, EngineSpec(1, 600_000)))
     broker.on_receive(TargetsListed(INFOS))
     return broker
 
 
 def ask(broker: Broker, call_id: int, shard: ShardId, wait_s: float = 5.0) -> Reply:
     reply, now = Reply(), time.monotonic()
-    prompt = Prompt((Part(PartId("s"), 900), Part(PartId(f"o{call_id}"), 100)), 1000, 10)
+    prompt = Prompt(
+        (PromptPart(PartId("s"), 900), PromptPart(PartId(f"o{call_id}"), 100)), 1000, 10
+    )
     broker.on_receive(
         Ask(
             call_id,
@@ -52,37 +54,37 @@
             prompt,
             now + wait_s,
             reply,
-            give_up=now + 9,
+            answer_deadline=now + 9,
             shard=shard,
         )
     )
     return reply
 
 
-def test_the_engines_are_divided_as_soon_as_they_are_listed(broker):
+def test_engines_are_divided_into_shards_once_listed(broker):
     assert broker.in_force.shards[LLM].count == 2
     broker.on_receive(TargetsChanged(gone=[info.id for info in INFOS[9:]]))
     assert broker.in_force.shards[LLM].count == 1
 
 
-def test_a_shard_gets_only_its_own_engines_and_shares_what_is_known_of_them(broker):
+def test_shard_grants_only_its_engines_and_shares_their_load(broker):
     members = {info.id for info in INFOS if shard_index(info.id, 2) == 1}
     replies = [ask(broker, n, SHARD) for n in range(len(members) + 3)]
     granted = [reply.result(0).target.id for reply in replies if reply.done()]
     assert set(granted) == members
-    assert all(broker.pools.whole(LLM).targets.loads[target].running == 1 for target in members)
+    assert all(broker.pools.unsharded(LLM).targets.loads[target].running == 1 for target in members)
     broker.on_receive(Settled(0, LLM, granted[0], Outcome.DONE, 1020.0))
     assert sum(reply.done() for reply in replies) == len(members) + 1
 
 
-def test_a_caller_that_leaves_is_withdrawn_from_its_shard(broker):
+def test_request_of_disconnected_caller_is_withdrawn_from_shard(broker):
     members = sum(shard_index(info.id, 2) == 1 for info in INFOS)
     replies = [ask(broker, n, SHARD) for n in range(members + 1)]
     broker.on_receive(Withdraw(members, LLM))
     assert replies[-1].done()
 
 
-def test_what_waits_ends_though_the_division_has_changed(broker):
+def test_queued_requests_expire_after_shards_have_changed(broker):
     members = sum(shard_index(info.id, 2) == 1 for info in INFOS)
     replies = [ask(broker, n, SHARD) for n in range(members + 1)]
     broker.on_receive(TargetsChanged(gone=[INFOS[0].id]))
@@ -92,26 +94,26 @@
     assert all(reply.done() for reply in replies)
 
 
-def test_schedulers_of_other_shards_are_told_what_teams_were_given(broker):
-    # A team whose prompts belong to one shard gets its share there, and as much again at each of
-    # the others, while teams that are spread get theirs once.
-    told = []
-    broker.on_receive(OnTick((), lambda *args: told.append(args)))
+def test_team_usage_is_reported_to_schedulers_of_other_shards(broker):
+    # Without these reports, a team whose prompts belong to one shard would get its full share
+    # there and again at each other shard, while teams spread over the shards get theirs once.
+    reports = []
+    broker.on_receive(OnTick((), lambda *args: reports.append(args)))
     ask(broker, 1, SHARD)
     broker.on_receive(Tick("expire", time.monotonic()))
-    assert told == [(LLM, 2, ServiceGiven("r1", 1, {TEAM: 1020}, []))]
+    assert reports == [(LLM, 2, ServiceGiven("r1", 1, {TEAM: 1020}, []))]
 
 
-def test_what_another_scheduler_gave_counts(broker):
+def test_usage_reported_by_another_scheduler_counts(broker):
     broker.on_receive(ServiceHeard(ServiceGiven("r2", 1, {}, [])))
     broker.on_receive(ServiceHeard(ServiceGiven("r2", 1, {TEAM: 5000}, ["u"])))
     assert broker.ledger.normalised(TEAM) > 4000
-    assert broker.ledger.lead(TEAM, set()) > 4000
+    assert broker.ledger.excess(TEAM, set()) > 4000
 
 
-def test_a_service_that_has_no_engines_any_more_does_not_end_the_router(broker):
-    # The operators' text makes a plain service of one whose prompts wait here, in a shard.
+def test_service_that_loses_its_engines_does_not_stop_router(broker):
+    # A new configuration makes a plain service of one that has prompts queued here, in a shard.
     ask(broker, 1, SHARD)
-    broker.pools.whole(LLM).targets.set_spec(ServiceSpec(LLM))
+    broker.pools.unsharded(LLM).targets.set_spec(ServiceSpec(LLM))
     broker.on_receive(TargetsChanged(gone=[INFOS[0].id]))
     assert LLM not in broker.in_force.shards
--- a/tests/router/test_starting.py
+++ b/tests/router/test_starting.py
@@ -1,4 +1,4 @@
-"""Requests that a router has read before it had caught up with its peers."""
+"""Requests parsed before a starting router has the configuration of its peers."""
 
 import json
 
@@ -14,7 +14,7 @@
 
 LLM = ServiceName("llm")
 DEPOT = TeamId("depot")
-LONG_S = 60.0
+PEER_TIMEOUT_S = 60.0
 
 
 def config(version: int):
@@ -30,10 +30,10 @@
     return msg.reply.result(timeout=5)
 
 
-def test_a_request_read_by_an_older_text_is_not_admitted_after_the_start():
-    """Guards against an answer by the old text that a router held while it started."""
+def test_request_parsed_with_an_outdated_configuration_is_not_admitted():
+    """Guards against requests served by the outdated configuration of a restarted router."""
     dispatcher = Dispatcher.start(
-        NodeId("r0"), 1, ConfigSnapshot(), peer_timeout_s=LONG_S, expected_peers={"r1"}
+        NodeId("r0"), 1, ConfigSnapshot(), peer_timeout_s=PEER_TIMEOUT_S, expected_peers={"r1"}
     )
     try:
         dispatcher.tell(ConfigApplied(config(1)))
--- /dev/null
+++ b/tests/router/test_startup_check.py
@@ -0,0 +1,74 @@
+"""Tests for when a router that has just started may serve callers."""
+
+from turmerictray.core.ids import NodeId
+from turmerictray.router.published import Position, StorePosition
+from turmerictray.router.startup_check import StartupCheck, StartupResult
+
+
+def position(version: int, revision: int = 5, era: int = 1) -> Position:
+    return Position(version, StorePosition(era, revision))
+
+
+def make_check(*members: str) -> StartupCheck:
+    startup_check = StartupCheck(NodeId("r1"), 0.0)
+    startup_check.set_members(["r1", *members])
+    return startup_check
+
+
+def test_router_serves_at_once_if_level_with_a_serving_peer():
+    """Guards against a restart that takes longer than the first message from a peer."""
+    startup_check = make_check("r2", "r3")
+    assert startup_check.result(position(2), 0.1) is None
+    startup_check.record_peer("r2", position(2), True)
+    assert startup_check.result(position(2), 0.1) is StartupResult.PEER
+
+
+def test_router_behind_a_peer_waits_until_caught_up():
+    """Guards against an outdated configuration or list of targets after a restart."""
+    startup_check = make_check("r2")
+    startup_check.record_peer("r2", position(2, revision=9), True)
+    assert startup_check.result(position(1, revision=9), 5.0) is None
+    assert startup_check.result(position(2, revision=8), 5.0) is None
+    assert startup_check.result(position(2, revision=9), 5.0) is StartupResult.PEER
+
+
+def test_older_store_era_is_behind_despite_higher_revision():
+    """Guards against a list of targets from before the store was restored from a backup."""
+    startup_check = make_check("r2")
+    startup_check.record_peer("r2", position(2, revision=4, era=2), True)
+    assert startup_check.result(position(2, revision=90, era=1), 5.0) is None
+
+
+def test_starting_peers_do_not_suffice():
+    """Guards against routers that restart together and adopt each other's old configuration."""
+    startup_check = make_check("r2", "r3")
+    startup_check.record_peer("r2", position(1), False)
+    assert startup_check.result(position(1), 2.0) is None
+    startup_check.record_peer("r3", position(2), True)
+    assert startup_check.result(position(1), 2.0) is None
+    assert startup_check.result(position(2), 2.0) is StartupResult.PEER
+
+
+def test_routers_that_start_together_need_the_newest_known_position():
+    """Guards against a fleet that starts together and waits for a peer that already serves."""
+    startup_check = make_check("r2")
+    startup_check.record_peer("r2", position(3), False)
+    assert startup_check.result(position(2), 1.5) is None
+    assert startup_check.result(position(3), 0.5) is None
+    assert startup_check.result(position(3), 0.7) is StartupResult.ALONE
+
+
+def test_router_without_peers_waits_one_second():
+    """Guards against a single router that never serves."""
+    startup_check = make_check()
+    assert startup_check.result(position(1), 0.5) is None
+    assert startup_check.result(position(1), 1.1) is StartupResult.ALONE
+
+
+def test_wait_for_peers_is_bounded():
+    """Guards against a router that never serves because its peers are partitioned or silent."""
+    startup_check = make_check("r2", "r3")
+    assert startup_check.result(position(1), 3.1) is StartupResult.NO_REPORT
+    startup_check.record_peer("r2", position(2), True)
+    assert startup_check.result(position(1), 9.0) is None
+    assert startup_check.result(position(1), 10.1) is StartupResult.BEHIND
--- a/tests/router/test_truthful_refusals.py
+++ b/tests/router/test_truthful_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals that say "not run" after tries that may have run."""
+"""Refusals as "not run", which must not follow an attempt that may have run."""
 
 import json
 import time
@@ -42,7 +42,7 @@
 
 
 class FakeDispatcher(pykka.ThreadingActor):
-    """Answers each admission with the next scripted grant or error."""
+    """Dispatcher that answers each :class:`Admit` with the next scripted grant or error."""
 
     def __init__(self, script: list) -> None:
         super().__init__()
@@ -59,7 +59,7 @@
 
 
 class FakeUpstream:
-    """Raises the next scripted error on each call."""
+    """Connection pool that raises the next scripted error on each call."""
 
     def __init__(self, errors: list) -> None:
         self.errors = errors
@@ -69,7 +69,7 @@
 
 
 class FakeGuard:
-    """Grants no claims; idempotent calls must not ask for one."""
+    """Guard that fails on any use, since idempotent requests must not be claimed."""
 
 
 @pytest.fixture
@@ -87,24 +87,23 @@
 
 
 @given(
-    "a proxy whose first try breaks after sending and whose second finds the queue timed out",
+    "a proxy whose first attempt fails after sending and whose second times out in the queue",
     target_fixture="proxy",
 )
 def unknown_then_timeout(build_proxy):
-    # The caller's idempotent call reaches e0, which may run it, and the connection breaks. The
-    # retry waits for another slot until the queue timeout. The queue's own refusal says "not
-    # run", which holds for the retry alone: passed on, it would tell a caller whose call may
-    # have run that it did not.
+    # The request reaches e0, which may run it, and the connection is lost. The retry waits for
+    # another slot until the queue timeout. The queue's refusal says "not run", which is true of
+    # the retry only and must not be the answer to the request.
     return build_proxy([_grant("e0"), QueueTimeout("queue_timeout", 2.0)], [OutcomeUnknown("cut")])
 
 
 @given(
-    "a proxy whose first try breaks after sending and whose second cannot connect",
+    "a proxy whose first attempt fails after sending and whose second cannot connect",
     target_fixture="proxy",
 )
 def unknown_then_refused(build_proxy):
-    # As above, but the retry reaches a target that refuses the connection: the last error is
-    # "not sent", while the first try may have run.
+    # As above, but the retry's target refuses the connection. The last error is "not sent", while
+    # the first attempt may have run.
     return build_proxy(
         [_grant("e0"), _grant("e1")], [OutcomeUnknown("cut"), NotSent("connection refused")]
     )
@@ -115,7 +114,7 @@
     return build_proxy([_grant("e0"), _grant("e1")], [NotSent("refused"), NotSent("refused")])
 
 
-@when("an idempotent call is served")
+@when("an idempotent request is served")
 def serve(proxy, ctx):
     req = CallerRequest(
         req_id=RequestId("r1"),
@@ -123,26 +122,26 @@
         service=ServiceName("llm"),
         kind=ServiceKind.MODEL,
         body=b"{}",
-        hint=10.0,
+        estimated_cost=10.0,
         prefix_key=None,
         idempotent=True,
         upstream_path="/v1/completions",
         stream=False,
     )
-    with pytest.raises(TurmerictrayError) as caught:
+    with pytest.raises(TurmerictrayError) as exc_info:
         proxy.serve(req, _CONFIG)
-    answer = error_answer(caught.value)
+    answer = error_answer(exc_info.value)
     ctx.update(kind=json.loads(answer.body)["error"]["type"], headers=dict(answer.headers))
 
 
-@then("the caller is told the outcome is unknown and when to come back")
-def told_unknown(ctx):
+@then('the caller receives "outcome unknown" with Retry-After')
+def check_unknown_outcome(ctx):
     assert ctx["kind"] == "outcome_unknown"
     assert int(ctx["headers"]["Retry-After"]) >= 1
 
 
-@then("the caller is told the request was not run and when to come back")
-def told_not_run(ctx):
+@then('the caller receives "not run" with Retry-After')
+def check_not_run(ctx):
     assert ctx["kind"] == "not_run"
     assert int(ctx["headers"]["Retry-After"]) >= 1
 
@@ -156,11 +155,11 @@
     return fleet
 
 
-@when("a caller asks for a whole answer")
-def ask_whole(fleet, ctx):
-    # The first try breaks mid-answer; nothing has reached the caller, and the call may be
-    # repeated. The engine that broke it is the only one: keeping the retry off it would hold
-    # the caller until the queue timeout while that engine stands idle.
+@when("a caller requests an answer that is not streamed")
+def request_answer(fleet, ctx):
+    # The connection of the first attempt is reset within the answer, of which the caller has
+    # received nothing, so the request may be repeated. There is only one engine: excluding it
+    # from the retry would let the caller wait until the queue timeout while the engine is idle.
     started = time.monotonic()
     resp = HTTP.request(
         "POST",
@@ -169,15 +168,15 @@
         headers={"X-Team": "depot", "X-Request-Id": "one"},
         timeout=20.0,
     )
-    ctx.update(status=resp.status, doc=json.loads(resp.data), took=time.monotonic() - started)
+    ctx.update(status=resp.status, doc=json.loads(resp.data), took_s=time.monotonic() - started)
 
 
-@then("it arrives whole within 3 seconds")
-def whole_in_time(ctx):
+@then("the complete answer arrives within 3 seconds")
+def check_complete_in_time(ctx):
     assert ctx["status"] == 200, ctx["doc"]
     content = ctx["doc"]["choices"][0]["message"]["content"]
     assert content == "".join(f"one:{i} " for i in range(5))
-    assert ctx["took"] < 3.0
+    assert ctx["took_s"] < 3.0
 
 
 @given("a router whose configuration service never answered", target_fixture="front")
@@ -186,8 +185,8 @@
     return Front(proxy.dispatcher, proxy, ConfigSnapshot(), lambda: None)
 
 
-@when("a caller asks it for an answer")
-def ask_unconfigured(front, ctx):
+@when("a caller sends it a request")
+def request_without_config(front, ctx):
     def start_response(status, headers):
         ctx.update(status=int(status.split()[0]), headers=dict(headers))
 
@@ -196,7 +195,7 @@
 
 
 @then("the request is refused as not run with Retry-After")
-def refused_not_run(ctx):
+def check_refused_not_run(ctx):
     assert ctx["status"] == 503
     assert ctx["doc"]["error"]["type"] == "not_run"
     assert int(ctx["headers"]["Retry-After"]) >= 1
--- a/tests/router/test_zone_cut.py
+++ b/tests/router/test_zone_cut.py
@@ -1,4 +1,4 @@
-"""Network partitions between zones, and restarts without memory."""
+"""Network partitions between zones, and restarts of a router without its counters."""
 
 import time
 
@@ -13,10 +13,10 @@
 
 
 @given(
-    "a cuttable fleet of 3 routers in 3 zones and 2 engines, one team calling each router",
+    "a fleet of 3 routers in 3 zones and 2 engines, one team calling each router",
     target_fixture="fleet",
 )
-def cuttable(start_fleet, ctx):
+def three_zone_fleet(start_fleet, ctx):
     fleet = start_fleet(
         engines=2,
         engine_slots=3,
@@ -36,16 +36,16 @@
     return [fleet.get_json(name, "/status")["config_version"] for name in ROUTERS]
 
 
-def _fleet_service(fleet, name: str) -> dict[str, float]:
+def _fleet_usage(fleet, name: str) -> dict[str, float]:
     teams = fleet.get_json(name, "/status")["teams"]
     return {team: entry["fleet"] for team, entry in teams.items()}
 
 
-@when("router-0's zone is cut off for 5 seconds and a new configuration is published meanwhile")
-def cut(fleet, ctx):
-    # Callers on both sides go on being served by their own routers. Each side counts only its
-    # own service meanwhile; the far side's heartbeats sent during the cut arrive late, all at
-    # once, when it heals, and must not be counted on top of the newer ones.
+@when("router-0's zone is partitioned for 5 seconds and a new configuration is published meanwhile")
+def partition(fleet, ctx):
+    # Each side goes on serving its callers and counts only its local usage. The heartbeats sent
+    # during the partition arrive late and all at once when it heals, and must not be counted in
+    # addition to newer ones.
     fleet.cut({"router-0"}, {"router-1", "router-2", "config", "instances"})
     ctx["cut_at"] = time.time()
     newer = dict(fleet.config, limits={**fleet.config["limits"], "retry_after_s": 2.0})
@@ -54,8 +54,8 @@
     ctx["cut_end"] = time.time()
 
 
-@then("each side served its own callers during the cut")
-def both_served(ctx):
+@then("each side served its callers during the partition")
+def check_both_sides_served(ctx):
     for team in TEAMS:
         served = [
             out
@@ -65,48 +65,50 @@
         assert len(served) >= 5, (team, len(served))
 
 
-@then("only the side that reaches the platform has the new configuration in force")
-def one_side_new(fleet):
+@then("the new configuration is active only on the side that reaches the platform")
+def check_active_on_one_side(fleet):
     assert _versions(fleet) == [1, 2, 2]
 
 
-@when("the cut heals")
+@when("the partition heals")
 def heal(fleet):
     fleet.heal()
 
 
-@then("within 6 seconds the new configuration is in force on every router")
-def all_new(fleet):
+@then("within 6 seconds the new configuration is active on every router")
+def check_active_everywhere(fleet):
     deadline = time.monotonic() + 6
     while _versions(fleet) != [2, 2, 2]:
         assert time.monotonic() < deadline, _versions(fleet)
         time.sleep(0.1)
 
 
-@then("within 10 seconds each router counts each team's service as the sum of all routers' own")
-def counters_meet(fleet, ctx):
+@then("within 10 seconds each router's fleet-wide usage of each team is the sum of all local usage")
+def check_counters_agree(fleet, ctx):
     ctx["callers"].finish()
     deadline = time.monotonic() + 10
     while True:
         views = [fleet.get_json(name, "/status")["teams"] for name in ROUTERS]
-        own = {team: sum(view.get(team, {}).get("local", 0) for view in views) for team in TEAMS}
-        seen = [{team: view.get(team, {}).get("fleet", 0) for team in TEAMS} for view in views]
-        if seen == [own] * 3:
+        sums = {team: sum(view.get(team, {}).get("local", 0) for view in views) for team in TEAMS}
+        fleet_usage = [
+            {team: view.get(team, {}).get("fleet", 0) for team in TEAMS} for view in views
+        ]
+        if fleet_usage == [sums] * 3:
             return
-        assert time.monotonic() < deadline, (own, seen)
+        assert time.monotonic() < deadline, (sums, fleet_usage)
         time.sleep(0.2)
 
 
-@then("every answer of the run is whole, in order and its own")
-def whole(ctx):
-    bad = [out for out in ctx["callers"].outcomes if not out.ok]
-    assert not bad, bad[:3]
+@then("every answer of the run is complete, in order and belongs to its request")
+def check_answers(ctx):
+    failed = [out for out in ctx["callers"].outcomes if not out.ok]
+    assert not failed, failed[:3]
 
 
 @when("the callers stop and router-0 is killed and started again")
-def kill_restart(fleet, ctx):
-    # The restarted router knows nothing of what it served before. Ordering its callers by half
-    # the history, it would favour the teams it had itself served most.
+def kill_and_restart(fleet, ctx):
+    # The restarted router has lost the counters of its earlier incarnation. With only its peers'
+    # counters, it would favour the teams to which it had itself given the most service.
     ctx["callers"].finish()
     time.sleep(1.5)
     fleet.kill("router-0")
@@ -114,12 +116,12 @@
     fleet.wait_ready(fleet.procs["router-0"])
 
 
-@then("within 10 seconds router-0 counts each team's service as router-1 does")
-def same_view(fleet):
+@then("within 10 seconds router-0 and router-1 report the same fleet-wide usage of each team")
+def check_usage_restored(fleet):
     deadline = time.monotonic() + 10
     while True:
-        mine, theirs = (_fleet_service(fleet, name) for name in ("router-0", "router-1"))
-        if mine == theirs and set(mine) == set(TEAMS):
+        restarted, peer = (_fleet_usage(fleet, name) for name in ("router-0", "router-1"))
+        if restarted == peer and set(restarted) == set(TEAMS):
             return
-        assert time.monotonic() < deadline, (mine, theirs)
+        assert time.monotonic() < deadline, (restarted, peer)
         time.sleep(0.2)
--- a/tests/routing/test_dead_targets.py
+++ b/tests/routing/test_dead_targets.py
@@ -1,4 +1,4 @@
-"""Targets that crash without the instance list having said so yet."""
+"""Crashed targets that the instance list does not report yet."""
 
 import time
 
@@ -29,30 +29,30 @@
     return {view["id"]: view["dispatched"] for view in targets}
 
 
-@when("engine-0 and engine-1 are killed and 24 answers with different prompts are requested")
+@when("engine-0 and engine-1 are killed and 24 requests with different prompts are sent")
 def kill_two(fleet, ctx):
-    # A third of the callers' prompts prefer each engine. Those that prefer a dead one fail to
-    # connect, are tried again on the other dead one, and would be refused as not run while the
-    # third engine stands idle. After a failed connect the router must turn to the others.
+    # Each engine is preferred by a third of the prompts. Requests that prefer a crashed engine fail
+    # to connect, would be retried on the other crashed one, and would be refused as not run while
+    # the third engine is idle. After a failed connection the router must prefer the other engines.
     fleet.kill("engine-0")
     fleet.kill("engine-1")
     ctx["outcomes"] = _call(fleet, 24)
 
 
-@then("every answer is whole")
-def whole(ctx):
+@then("every answer is complete")
+def all_complete(ctx):
     bad = [out for out in ctx["outcomes"] if not out.ok]
     assert not bad, (len(bad), bad[:3])
 
 
-@then("the dead engines were tried no more than 6 times together")
-def tried_little(fleet):
+@then("the crashed engines received no more than 6 requests together")
+def few_requests_to_crashed(fleet):
     dispatched = _dispatched(fleet)
     assert dispatched["engine-0"] + dispatched["engine-1"] <= 6, dispatched
 
 
-@when("engine-0 is killed, found dead, and started again")
-def kill_and_return(fleet, ctx):
+@when("engine-0 is killed, found unreachable, and restarted")
+def kill_and_restart(fleet, ctx):
     fleet.kill("engine-0")
     _call(fleet, 12)
     ctx["before"] = _dispatched(fleet)["engine-0"]
@@ -60,10 +60,10 @@
     fleet.wait_ready(fleet.procs["engine-0"])
 
 
-@then("within 10 seconds engine-0 gets work again")
-def works_again(fleet, ctx):
+@then("within 10 seconds engine-0 receives requests again")
+def receives_requests(fleet, ctx):
     deadline = time.monotonic() + 10
     while fleet.get_json("engine-0", "/admin/stats")["executions"] == {}:
-        assert time.monotonic() < deadline, "engine-0 never got work again"
+        assert time.monotonic() < deadline, "engine-0 received no requests after its restart"
         assert all(out.ok for out in _call(fleet, 12))
         time.sleep(0.2)
--- a/tests/routing/test_idle_first.py
+++ b/tests/routing/test_idle_first.py
@@ -1,4 +1,4 @@
-"""An engine that idles gets a request before one that only keeps its prompt."""
+"""Preference for an idle engine over a full one that caches the prompt."""
 
 from turmerictray.core.ids import ServiceName, TargetId
 from turmerictray.routing.choice import choose_target
@@ -12,11 +12,11 @@
     ]
 
 
-def test_full_engine_is_left_for_an_idle_one_although_this_router_has_a_claim_there():
-    # Four routers see no queue, so each may fill every slot of the engine that the prompt prefers.
-    # Its load report shows it full, but the prompt's preference went before the report: sixty of
-    # sixty answers came from it, with four requests waiting in its own queue, while the other
-    # engine had nothing to do.
+def test_idle_engine_is_chosen_over_a_full_one_with_slots_allocated_to_this_router():
+    # Four routers without a queue may each fill every slot of the engine that the prompt prefers.
+    # Its load report shows it full, but the prompt's preference used to override the report: sixty
+    # of sixty answers came from it, with four requests waiting in its own queue, while the other
+    # engine was idle.
     engines = make_engines()
     preferred = choose_target(engines, "soil")
     other = next(engine for engine in engines if engine is not preferred)
@@ -24,14 +24,14 @@
     assert choose_target(engines, "soil") is other
 
 
-def test_prompt_stays_with_its_engine_while_that_has_room():
+def test_preferred_engine_is_chosen_while_it_has_free_slots():
     engines = make_engines()
     preferred = choose_target(engines, "soil")
     preferred.reported_busy = preferred.slots - 1
     assert choose_target(engines, "soil") is preferred
 
 
-def test_both_full_leaves_the_preference():
+def test_preferred_engine_is_chosen_if_all_are_full():
     engines = make_engines()
     preferred = choose_target(engines, "soil")
     for engine in engines:
--- a/tests/routing/test_model.py
+++ b/tests/routing/test_model.py
@@ -1,15 +1,15 @@
-"""What is learned from answers stays near the truth and never runs away."""
+"""The rates learned from answers stay close to the true ones and do not diverge."""
 
 import random
 
-from turmerictray.routing.kept import KeptParts
-from turmerictray.routing.load import OpenRead, TargetInfo, TargetLoad
+from turmerictray.routing.load import PendingPrefill, TargetInfo, TargetLoad
 from turmerictray.routing.model import PoolModel
+from turmerictray.routing.prefix_cache import PrefixCacheModel
 
 
-def test_rate_is_found_although_most_answers_are_late():
-    # Peers' work that is not known yet makes half of all answers late; taken at face value they
-    # would halve the rate, and engines would be left idle.
+def test_read_rate_is_estimated_although_many_answers_are_late():
+    # Requests of peers that are not reported yet delay half of all answers. Without the quantile
+    # they would halve the estimated rate, and engines would be left idle.
     model, rng = PoolModel(80_000.0), random.Random(1)
     for _ in range(2000):
         tokens = rng.randint(2_000, 20_000)
@@ -27,14 +27,16 @@
 
 
 def test_targets_that_are_all_late_are_not_slow():
-    loads = [TargetLoad(TargetInfo(f"e{n}", "llm", "h:1", "z", 8), KeptParts(1)) for n in range(3)]
+    loads = [
+        TargetLoad(TargetInfo(f"e{n}", "llm", "h:1", "z", 8), PrefixCacheModel(1)) for n in range(3)
+    ]
     for _ in range(100):
         for number, load in enumerate(loads):
-            load.sent(1, OpenRead(0.0, 5000, 0, 0.2, load.slowness))
-            load.first_event(1, 3.0 if number == 0 else 0.6)
-            load.ended(1)
+            load.record_sent(1, PendingPrefill(0.0, 5000, 0, 0.2, load.slowness))
+            load.record_first_event(1, 3.0 if number == 0 else 0.6)
+            load.record_end(1)
         usual = sorted(load.log_lateness for load in loads)[1]
         for load in loads:
-            load.judge_slowness(usual)
+            load.update_slowness(usual)
     assert loads[1].slowness == 1.0
     assert 2.0 < loads[0].slowness < 6.0
--- /dev/null
+++ b/tests/routing/test_prefix_cache.py
@@ -0,0 +1,29 @@
+"""Estimated contents of an engine's prefix cache."""
+
+from turmerictray.routing.prefix_cache import PrefixCacheModel
+from turmerictray.routing.prompt import PartId, Prompt, PromptPart
+
+
+def parts(*names: str) -> list[PromptPart]:
+    return [PromptPart(PartId(name), 100) for name in names]
+
+
+def prompt(*names: str) -> Prompt:
+    return Prompt(tuple([*parts(*names), PromptPart(PartId("own"), 10)]), 100 * len(names) + 10, 5)
+
+
+def test_older_parts_are_evicted_before_known_ones():
+    cache = PrefixCacheModel(400)
+    cache.note_parts(parts("c", "d"))
+    cache.note_older(parts("a", "b", "c"))
+    assert [part.part_id for part in cache.parts()] == ["a", "b", "c", "d"]
+    cache.note_parts(parts("e"))
+    assert cache.cached_tokens(prompt("a")) == 0
+    assert cache.cached_tokens(prompt("b")) == 100
+
+
+def test_older_parts_beyond_the_capacity_are_left_out_oldest_first():
+    cache = PrefixCacheModel(300)
+    cache.note_parts(parts("d"))
+    cache.note_older(parts("a", "b", "c"))
+    assert [part.part_id for part in cache.parts()] == ["b", "c", "d"]
--- a/tests/scheduling/test_choice.py
+++ b/tests/scheduling/test_choice.py
@@ -1,4 +1,4 @@
-"""Which router schedules, as each router works it out for itself."""
+"""Selection of the scheduler, which each router computes for itself."""
 
 import pytest
 
@@ -16,9 +16,9 @@
         return self.now
 
 
-def entry(number: int, beat: int = 20, zones: int = 3) -> MemberEntry:
+def entry(number: int, heartbeat: int = 20, zones: int = 3) -> MemberEntry:
     node, zone = f"r{number}", f"z{number % zones}"
-    return MemberEntry(node, zone, f"tcp://{node}:1", 1, beat, False, f"tcp://{node}:2")
+    return MemberEntry(node, zone, f"tcp://{node}:1", 1, heartbeat, False, f"tcp://{node}:2")
 
 
 @pytest.fixture
@@ -26,67 +26,69 @@
     return Clock()
 
 
-def choice_of(number: int, members, clock) -> SchedulerChoice:
-    own = entry(number)
-    choice = SchedulerChoice(NodeId(own.node), ZoneId(own.zone), clock)
-    choice.take_members(members)
+def choice_for(number: int, members, clock) -> SchedulerChoice:
+    local = entry(number)
+    choice = SchedulerChoice(NodeId(local.node), ZoneId(local.zone), clock)
+    choice.set_members(members)
     return choice
 
 
-def name(choice: SchedulerChoice) -> str:
+def scheduler_name(choice: SchedulerChoice) -> str:
     found = choice.scheduler(LLM)
     return found.node if found is not None else choice.node
 
 
 def test_all_routers_choose_the_same_one(clock):
     members = [entry(n) for n in range(79)]
-    assert len({name(choice_of(n, members, clock)) for n in range(79)}) == 1
+    assert len({scheduler_name(choice_for(n, members, clock)) for n in range(79)}) == 1
 
 
 def test_a_router_that_has_just_started_is_not_chosen(clock):
-    # Callers' prompts are read again by engines that keep them: a router that starts has the first
-    # rank and takes over before it has heard what engines keep and run.
+    # Guards against prompts that are processed again although engines cache them: a router with the
+    # highest rank would take over right after its start, before it has received the contents of
+    # the engines' caches and their load.
     members = [entry(n) for n in range(9)]
-    first = name(choice_of(0, members, clock))
-    young = [m if m.node != first else entry(int(first[1:]), beat=2) for m in members]
-    second = name(choice_of(0, young, clock))
+    first = scheduler_name(choice_for(0, members, clock))
+    restarted = [m if m.node != first else entry(int(first[1:]), heartbeat=2) for m in members]
+    second = scheduler_name(choice_for(0, restarted, clock))
     assert second != first
-    assert name(choice_of(0, members, clock)) == first
+    assert scheduler_name(choice_for(0, members, clock)) == first
 
 
-def test_of_a_fleet_that_starts_together_one_is_chosen_at_once(clock):
-    members = [entry(n, beat=1) for n in range(9)]
-    assert len({name(choice_of(n, members, clock)) for n in range(9)}) == 1
+def test_one_router_of_a_fleet_that_starts_together_is_chosen_at_once(clock):
+    members = [entry(n, heartbeat=1) for n in range(9)]
+    assert len({scheduler_name(choice_for(n, members, clock)) for n in range(9)}) == 1
 
 
-def test_one_that_does_not_answer_is_passed_over_for_a_while(clock):
+def test_an_unresponsive_scheduler_is_skipped_for_a_while(clock):
     members = [entry(n) for n in range(9)]
-    first = name(choice_of(0, members, clock))
-    other = next(n for n in range(9) if f"r{n}" != first)
-    choice = choice_of(other, members, clock)
-    choice.note_silent(first)
-    assert name(choice) != first
+    first = scheduler_name(choice_for(0, members, clock))
+    index = next(n for n in range(9) if f"r{n}" != first)
+    choice = choice_for(index, members, clock)
+    choice.mark_unresponsive(first)
+    assert scheduler_name(choice) != first
     clock.now += 1.1
-    assert name(choice) == first
-    choice.note_silent(first)
+    assert scheduler_name(choice) == first
+    choice.mark_unresponsive(first)
     clock.now += 1.1
-    assert name(choice) != first
-    choice.note_heard(first)
-    assert name(choice) == first
+    assert scheduler_name(choice) != first
+    choice.mark_responsive(first)
+    assert scheduler_name(choice) == first
 
 
-def test_a_zone_that_is_cut_off_finds_its_own(clock):
-    # Callers of a zone wait for schedulers that can't be reached, one after the other: each costs
-    # 0.15 s, and sixty routers of other zones are believed alive for another three seconds.
+def test_a_partitioned_zone_selects_a_local_scheduler(clock):
+    # Guards against callers of a partitioned zone that wait for one unreachable scheduler after the
+    # other: each timeout takes 0.15 s, and sixty routers of other zones are believed alive for
+    # another three seconds.
     members = [entry(n) for n in range(79)]
-    choice = choice_of(0, members, clock)
+    choice = choice_for(0, members, clock)
     tried = []
     while choice.scheduler(LLM) is not None and choice.scheduler(LLM).zone != "z0":
         tried.append(choice.scheduler(LLM).node)
-        choice.note_silent(tried[-1])
+        choice.mark_unresponsive(tried[-1])
     assert len(tried) <= 2
 
 
-def test_a_router_that_leaves_or_is_alone_decides_by_itself(clock):
-    assert choice_of(0, [entry(0)], clock).scheduler(LLM) is None
-    assert choice_of(0, [], clock).scheduler(LLM) is None
+def test_a_router_that_leaves_or_is_alone_schedules_its_own_requests(clock):
+    assert choice_for(0, [entry(0)], clock).scheduler(LLM) is None
+    assert choice_for(0, [], clock).scheduler(LLM) is None
--- a/tests/scheduling/test_link.py
+++ b/tests/scheduling/test_link.py
@@ -1,4 +1,4 @@
-"""Messages between routers and the scheduler over real sockets."""
+"""Messages between routers and schedulers over real sockets."""
 
 import socket
 import threading
@@ -23,7 +23,7 @@
         call_id=1 << 62,
         origin="r1",
         reply_to="tcp://h:1",
-        redialled=True,
+        reconnected=True,
         zone="z",
         req_id="q",
         team="t",
@@ -55,13 +55,13 @@
 
 
 @pytest.fixture
-def heard():
+def received():
     return []
 
 
 @pytest.fixture
-def links(heard):
-    pair = [SchedulingLink(free_address(), heard.append) for _ in range(2)]
+def links(received):
+    pair = [SchedulingLink(free_address(), received.append) for _ in range(2)]
     for link in pair:
         link.start()
     yield pair
@@ -69,63 +69,63 @@
         link.stop()
 
 
-def wait_heard(heard, count: int) -> None:
+def wait_received(received, count: int) -> None:
     until = time.monotonic() + 3
-    while len(heard) < count and time.monotonic() < until:
+    while len(received) < count and time.monotonic() < until:
         time.sleep(0.01)
 
 
-def test_every_message_arrives_as_it_was_sent(links, heard):
-    asker, scheduler = links
+def test_every_message_arrives_as_it_was_sent(links, received):
+    requester, scheduler = links
     for message in MESSAGES:
-        assert asker.send(scheduler.address, message)
-    wait_heard(heard, len(MESSAGES))
-    assert heard == MESSAGES
+        assert requester.send(scheduler.address, message)
+    wait_received(received, len(MESSAGES))
+    assert received == MESSAGES
 
 
-def test_bytes_that_are_no_message_are_passed_over(links, heard):
-    asker, scheduler = links
-    asker._outlet(scheduler.address).send(b"\xc1junk")
-    asker.send(scheduler.address, StillWaiting("r1"))
-    wait_heard(heard, 1)
-    assert heard == [StillWaiting("r1")]
+def test_malformed_messages_are_ignored(links, received):
+    requester, scheduler = links
+    requester._socket_to(scheduler.address).send(b"\xc1junk")
+    requester.send(scheduler.address, StillWaiting("r1"))
+    wait_received(received, 1)
+    assert received == [StillWaiting("r1")]
 
 
-def test_a_connection_can_be_opened_anew(links, heard):
-    asker, scheduler = links
-    asker.send(scheduler.address, StillWaiting("r1"))
-    wait_heard(heard, 1)
-    asker.redial(scheduler.address)
-    assert not asker.is_dialled(scheduler.address)
-    asker.send(scheduler.address, StillWaiting("r2"))
-    wait_heard(heard, 2)
-    assert heard[-1] == StillWaiting("r2")
+def test_a_connection_can_be_reopened(links, received):
+    requester, scheduler = links
+    requester.send(scheduler.address, StillWaiting("r1"))
+    wait_received(received, 1)
+    requester.reconnect(scheduler.address)
+    assert not requester.is_connected(scheduler.address)
+    requester.send(scheduler.address, StillWaiting("r2"))
+    wait_received(received, 2)
+    assert received[-1] == StillWaiting("r2")
 
 
-def test_messages_to_nobody_are_not_waited_for(links):
-    asker, _ = links
+def test_sending_to_an_unreachable_address_does_not_block(links):
+    requester, _ = links
     begun = time.monotonic()
-    sent = [asker.send("tcp://127.0.0.1:1", StillWaiting("r1")) for _ in range(200)]
+    sent = [requester.send("tcp://127.0.0.1:1", StillWaiting("r1")) for _ in range(200)]
     assert time.monotonic() - begun < 1.0
     assert not all(sent)
 
 
-def test_a_full_buffer_does_not_cost_what_is_in_it(links, heard, monkeypatch):
-    """Guards against engines that count as busy with requests whose end was lost with a buffer."""
-    asker, scheduler = links
-    slow = heard.append
-    monkeypatch.setattr(scheduler, "_on_message", lambda msg: (time.sleep(0.001), slow(msg)))
-    words = [StillWaiting(f"{n:08}" * 1000) for n in range(3000)]
-    sent = [word for word in words if asker.send(scheduler.address, word)]
+def test_a_full_buffer_keeps_its_messages(links, received, monkeypatch):
+    """Guards against engines counted as busy because `Ended` messages were lost with a buffer."""
+    requester, scheduler = links
+    deliver = received.append
+    monkeypatch.setattr(scheduler, "_on_message", lambda msg: (time.sleep(0.001), deliver(msg)))
+    payloads = [StillWaiting(f"{n:08}" * 1000) for n in range(3000)]
+    sent = [payload for payload in payloads if requester.send(scheduler.address, payload)]
     until = time.monotonic() + 20
-    while len(heard) < len(sent) and time.monotonic() < until:
+    while len(received) < len(sent) and time.monotonic() < until:
         time.sleep(0.01)
-    assert len(sent) < len(words)
-    assert heard == sent
+    assert len(sent) < len(payloads)
+    assert received == sent
 
 
-def test_nothing_receives_any_more_once_a_link_has_stopped():
-    """Guards against an abort at a process's end, where a thread is still in the library."""
+def test_no_receiving_thread_is_left_after_stop():
+    """Guards against an abort at process exit while a receiving thread is still inside pynng."""
     for _ in range(20):
         link = SchedulingLink(free_address(), lambda _: None)
         link.start()
--- a/tests/simulation/test_engine.py
+++ b/tests/simulation/test_engine.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from turmerictray.routing.prompt import Part, PartId, Prompt
+from turmerictray.routing.prompt import PartId, Prompt, PromptPart
 from turmerictray.simulation.engine import BatchEngine, EngineShape, Memory, Run
 from turmerictray.simulation.timeline import Timeline
 
@@ -12,7 +12,7 @@
 
 
 def prompt(name: str, shared: int = 1000, own: int = 100, generated: int = 6) -> Prompt:
-    parts = (Part(PartId(name), shared), Part(PartId(f"{name}-own{own}"), own))
+    parts = (PromptPart(PartId(name), shared), PromptPart(PartId(f"{name}-own{own}"), own))
     return Prompt(parts, shared + own, generated)
 
 
--- a/turmerictray/admission/__init__.py
+++ b/turmerictray/admission/__init__.py
@@ -1,1 +1,4 @@
-"""Decisions on when a request is sent, kept waiting, repeated or refused; no sockets, no actors."""
+"""Admission control: when a request is dispatched, queued, retried or refused.
+
+The package contains no sockets and no actors.
+"""
--- a/turmerictray/admission/backlog.py
+++ b/turmerictray/admission/backlog.py
@@ -1,8 +1,8 @@
-"""Which requests of a team a router puts to the scheduler, and which it refuses by itself.
+"""Local admission check: which requests a router submits to the scheduler and which it refuses.
 
-Callers of one team may all come in at one router, many times more than the team is given. What
-can't be served in time is refused when it comes, at no more cost than its head: the processor is
-needed for those that are served.
+All callers of a team may connect to one router and send many times more requests than the team is
+granted. Requests that can't be served in time are refused on arrival, after reading only the
+request head, which leaves the processor to the requests that are served.
 """
 
 import math
@@ -14,139 +14,155 @@
 from turmerictray.core.errors import BacklogFull, WontBeServed
 from turmerictray.core.ids import TeamId
 
-_LEAST_WAITING = 32
-"""Waiting requests of a team that are always allowed; among them the scheduler can choose the most
-urgent and the shortest."""
+_MIN_WAITING_LIMIT = 32
+"""Waiting requests that each team and route may always have. The scheduler chooses the most urgent
+and the shortest among them."""
 
-_SLACK = 2.0
-"""How many times what was granted lately may wait or be asked for, as grants come unevenly."""
+_GRANT_RATE_FACTOR = 2.0
+"""Multiple of the recent grant rate up to which requests may wait or be submitted. It is above 1
+because grants arrive unevenly."""
 
-_RATE_S = 2.0
-"""Time over which grants are averaged."""
+_RATE_TIME_CONSTANT_S = 2.0
+"""Time constant of the exponential average of the grant rate."""
 
-_LONGEST_ROOM_S = 4.0
-"""Callers are told to come back within this time, however slowly their team is served now."""
+_MAX_RETRY_AFTER_S = 4.0
+"""Upper bound of the retry delay sent to callers, however slowly their team is served now."""
 
-_REFUSAL_HOLDS_S = 0.5
-"""How long after a scheduler's refusal the team's next requests on the route are put to it only at
-the pace of its grants."""
+_REFUSAL_EFFECT_S = 0.5
+"""Time after a refusal by the scheduler during which further requests of the team and route are
+submitted only at a limited rate; see :meth:`_RouteBacklog.take_submission_token`."""
 
-_LEAST_ASKS_PER_S = 20.0
-"""Requests put to the scheduler in a second all the same, to notice when there is room again."""
+_MIN_SUBMISSIONS_PER_S = 20.0
+"""Requests per second that are submitted to the scheduler even after a refusal, in order to notice
+when capacity is available again."""
 
-_ASKS_AT_ONCE = 8.0
+_SUBMISSION_BURST = 8.0
+"""Burst size of the token bucket that limits submissions after a refusal."""
 
 
 class TeamRoute(NamedTuple):
-    """A team's requests on one route; those of other routes are longer or more urgent."""
+    """Key of a team's requests on one route.
+
+    Routes are counted separately because their requests differ in length and urgency.
+    """
 
     team: TeamId
     route: str
 
 
 @dataclass
-class _Line:
-    """The requests of one team and route."""
+class _RouteBacklog:
+    """Waiting requests, grant rate and submission limit of one team and route."""
 
     waiting: int = 0
     grants: float = 0.0
     granted_at: float = -math.inf
     refused_at: float = -math.inf
-    refused_s: float = 0.0
-    asks: float = _ASKS_AT_ONCE
-    asked_at: float = -math.inf
-
-    def rate(self, now: float) -> float:
-        """Grants a second, with those of a moment ago counting most."""
-        return self.grants * math.exp((self.granted_at - now) / _RATE_S) / _RATE_S
+    refusal_retry_s: float = 0.0
+    submission_tokens: float = _SUBMISSION_BURST
+    refilled_at: float = -math.inf
+
+    def grant_rate(self, now: float) -> float:
+        """Return the grants per second, as an exponentially weighted average."""
+        return (
+            self.grants
+            * math.exp((self.granted_at - now) / _RATE_TIME_CONSTANT_S)
+            / _RATE_TIME_CONSTANT_S
+        )
 
     def note_grant(self, now: float) -> None:
-        self.grants = self.grants * math.exp((self.granted_at - now) / _RATE_S) + 1.0
+        self.grants = self.grants * math.exp((self.granted_at - now) / _RATE_TIME_CONSTANT_S) + 1.0
         self.granted_at = now
 
     def is_refused(self, now: float) -> bool:
-        return now < self.refused_at + _REFUSAL_HOLDS_S
-
-    def take_ask(self, now: float) -> bool:
-        """Whether a request may be put to the scheduler in spite of its last refusal."""
-        pace = _SLACK * self.rate(now) + _LEAST_ASKS_PER_S
-        refilled = self.asks + pace * (now - self.asked_at)
-        self.asks, self.asked_at = min(_ASKS_AT_ONCE, refilled), now
-        if self.asks < 1.0:
+        return now < self.refused_at + _REFUSAL_EFFECT_S
+
+    def take_submission_token(self, now: float) -> bool:
+        """Take a token for a submission to the scheduler; return False if none is left.
+
+        The refill rate is ``_GRANT_RATE_FACTOR`` times the average grant rate, plus a constant.
+        """
+        refill_per_s = _GRANT_RATE_FACTOR * self.grant_rate(now) + _MIN_SUBMISSIONS_PER_S
+        refilled = self.submission_tokens + refill_per_s * (now - self.refilled_at)
+        self.submission_tokens, self.refilled_at = min(_SUBMISSION_BURST, refilled), now
+        if self.submission_tokens < 1.0:
             return False
-        self.asks -= 1.0
+        self.submission_tokens -= 1.0
         return True
 
 
 class TeamBacklog:
-    """Counts what waits, is granted and is refused, by team and route; used by many threads."""
+    """Count of waiting, granted and refused requests by team and route; safe for many threads."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._lines: defaultdict[TeamRoute, _Line] = defaultdict(_Line)
-        self._long = 0
+        self._routes: defaultdict[TeamRoute, _RouteBacklog] = defaultdict(_RouteBacklog)
+        self._long_queues = 0
         self._refused_at = -math.inf
 
-    def enter(self, key: TeamRoute) -> None:
-        """A request begins to wait for a grant."""
+    def start_waiting(self, key: TeamRoute) -> None:
+        """Record that a request waits for a grant."""
         with self._lock:
-            line = self._lines[key]
-            line.waiting += 1
-            self._long += line.waiting == _LEAST_WAITING
+            backlog = self._routes[key]
+            backlog.waiting += 1
+            self._long_queues += backlog.waiting == _MIN_WAITING_LIMIT
 
-    def leave(self, key: TeamRoute, granted: bool, now: float) -> None:
-        """A request waits no more."""
+    def stop_waiting(self, key: TeamRoute, granted: bool, now: float) -> None:
+        """Record that a request no longer waits."""
         with self._lock:
-            line = self._lines[key]
-            self._long -= line.waiting == _LEAST_WAITING
-            line.waiting -= 1
+            backlog = self._routes[key]
+            self._long_queues -= backlog.waiting == _MIN_WAITING_LIMIT
+            backlog.waiting -= 1
             if granted:
-                line.note_grant(now)
+                backlog.note_grant(now)
 
-    def note_refusal(self, key: TeamRoute, room_in_s: float, now: float) -> None:
-        """The scheduler has refused a request at once, as it would not be served in time."""
+    def note_refusal(self, key: TeamRoute, capacity_in_s: float, now: float) -> None:
+        """Record that the scheduler refused a request because it would not be served in time."""
         with self._lock:
-            line = self._lines[key]
-            line.refused_at, line.refused_s = now, room_in_s
+            backlog = self._routes[key]
+            backlog.refused_at, backlog.refusal_retry_s = now, capacity_in_s
             self._refused_at = now
 
     def may_refuse(self, now: float) -> bool:
-        """Whether any request may be refused now."""
-        return self._long > 0 or now < self._refused_at + _REFUSAL_HOLDS_S
+        """Return whether the checks could refuse any request now."""
+        return self._long_queues > 0 or now < self._refused_at + _REFUSAL_EFFECT_S
 
-    def check_room(self, key: TeamRoute, objective_s: float, now: float) -> None:
-        """Check that a request will be served in time by what waits before it.
+    def check_capacity(self, key: TeamRoute, objective_s: float, now: float) -> None:
+        """Check that a request will be served in time despite those that already wait.
 
         Parameters
         ----------
         objective_s : float
-            How long a request of this kind may wait and still be of use.
+            Latency objective of the route, in seconds.
 
         Raises
         ------
         BacklogFull
+            More requests wait than are likely to be granted within the objective.
         """
         with self._lock:
-            self._check_room(self._lines[key], objective_s, now)
+            self._check_waiting(self._routes[key], objective_s, now)
 
-    def check_ask(self, key: TeamRoute, objective_s: float, now: float) -> None:
-        """Check that a request is worth putting to the scheduler.
+    def check_submission(self, key: TeamRoute, objective_s: float, now: float) -> None:
+        """Check that a request should be submitted to the scheduler.
 
         Raises
         ------
         BacklogFull
+            More requests wait than are likely to be granted within the objective.
         WontBeServed
-            The scheduler has just refused one like it.
+            The scheduler has just refused a request of the same team and route, and the limit for
+            submissions after a refusal is reached.
         """
         with self._lock:
-            line = self._lines[key]
-            self._check_room(line, objective_s, now)
-            if line.is_refused(now) and not line.take_ask(now):
-                raise WontBeServed("wait_too_long", line.refused_s)
+            backlog = self._routes[key]
+            self._check_waiting(backlog, objective_s, now)
+            if backlog.is_refused(now) and not backlog.take_submission_token(now):
+                raise WontBeServed("wait_too_long", backlog.refusal_retry_s)
 
     @staticmethod
-    def _check_room(line: _Line, objective_s: float, now: float) -> None:
-        rate = line.rate(now)
-        if line.waiting >= max(_LEAST_WAITING, _SLACK * rate * objective_s):
-            room_in_s = line.waiting / rate if rate else _LONGEST_ROOM_S
-            raise BacklogFull("backlog_full", min(_LONGEST_ROOM_S, room_in_s))
+    def _check_waiting(backlog: _RouteBacklog, objective_s: float, now: float) -> None:
+        rate = backlog.grant_rate(now)
+        if backlog.waiting >= max(_MIN_WAITING_LIMIT, _GRANT_RATE_FACTOR * rate * objective_s):
+            capacity_in_s = backlog.waiting / rate if rate else _MAX_RETRY_AFTER_S
+            raise BacklogFull("backlog_full", min(_MAX_RETRY_AFTER_S, capacity_in_s))
--- a/turmerictray/admission/budget.py
+++ b/turmerictray/admission/budget.py
@@ -1,60 +1,62 @@
-"""The fleet's budget of repeats, of which each router spends only its own part."""
+"""Retry budget of the fleet, of which each router spends only its own share."""
 
 from collections import deque
 
-_MARGIN = 0.85
-"""Part of the allowance that is used. Windows of the router and of whoever counts don't begin at
-the same moment, and a peer that has just left may have spent its part."""
+_USED_FRACTION = 0.85
+"""Fraction of the allowance that is used. The margin covers the offset between this router's window
+and that of an outside observer, and the share that a router spent shortly before it left."""
 
 
 class RetryBudget:
-    """Repeats that this router may send to one service, in a sliding window.
+    """Retries that this router may send to one service in a sliding window.
 
-    A repeat is any send beyond the first of a request. The allowance of a window is ``ratio`` times
-    the requests this router took in it, plus this router's part of ``floor``, which all routers
-    share. A router that hears no peer goes on with the part it last knew: its peers still spend
-    theirs.
+    A retry is any send of a request beyond its first. The allowance of a window is ``ratio`` times
+    the requests that this router received in it, plus this router's share of ``floor``, which all
+    routers divide evenly. A router that receives no messages from its peers keeps its last known
+    share, because the peers may still spend theirs.
 
     Parameters
     ----------
     ratio : float
+        Retries allowed per request received.
     floor : float
-        Repeats that the whole fleet may send in a window however few requests there are.
+        Retries that the whole fleet may send in a window, however few requests there are.
     window_s : float
+        Length of the window, in seconds.
     """
 
     def __init__(self, ratio: float, floor: float, window_s: float) -> None:
         self.ratio = ratio
         self.floor = floor
         self.window_s = window_s
-        self.routers = 1
+        self.router_count = 1
         self._requests: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._retries: deque[float] = deque()
 
     def set_limits(self, ratio: float, floor: float, window_s: float) -> None:
-        """Take changed limits; what was spent stays spent."""
+        """Replace the limits; retries already spent still count."""
         self.ratio = ratio
         self.floor = floor
         self.window_s = window_s
 
     def note_request(self, now: float) -> None:
-        """A caller's request for the service has come."""
+        """Record a caller's request to the service."""
         self._requests.append(now)
 
-    def take(self, now: float) -> bool:
-        """Spend one repeat; false when the window's allowance is used up."""
-        self._forget(now)
-        if len(self._repeats) + 1 > self._allowance():
+    def try_spend(self, now: float) -> bool:
+        """Spend one retry; return False if the window's allowance is used up."""
+        self._remove_expired(now)
+        if len(self._retries) + 1 > self._allowance():
             return False
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
 
     def _allowance(self) -> float:
-        part = self.floor / max(self.routers, 1)
-        return _MARGIN * (self.ratio * len(self._requests) + part)
+        share = self.floor / max(self.router_count, 1)
+        return _USED_FRACTION * (self.ratio * len(self._requests) + share)
 
-    def _forget(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         horizon = now - self.window_s
-        for times in (self._requests, self._repeats):
+        for times in (self._requests, self._retries):
             while times and times[0] < horizon:
                 times.popleft()
--- a/turmerictray/admission/digest.py
+++ b/turmerictray/admission/digest.py
@@ -1,4 +1,4 @@
-"""The digest by which a request is known again when it comes with another id."""
+"""Digest that identifies a request when the caller sends it again under another id."""
 
 from hashlib import blake2b
 
@@ -11,17 +11,23 @@
 def request_digest(
     method: str, host: str, target: str, credential: str | None, body: bytes
 ) -> RequestDigest:
-    """Digest of what stays the same when a caller sends a request again.
+    """Compute the digest of the parts of a request that don't change when it is sent again.
 
-    It is keyed by the caller's credential: neither that nor the body can be found out from it by
-    whoever does not know the other, so it may stand in logs and messages.
+    The digest is keyed by the caller's credential. Neither the credential nor the body can be
+    recovered from it without knowing the other, so it may be written to logs and messages.
 
     Parameters
     ----------
+    method : str
+        HTTP method.
+    host : str
+        Value of the ``Host`` header.
     target : str
         Path and query as the caller sent them.
     credential : str or None
-        The key that the caller presents.
+        API key presented by the caller.
+    body : bytes
+        Request body.
     """
     key = blake2b((credential or "").encode(), person=_CONTEXT).digest()
     digest = blake2b(digest_size=_BYTES, key=key, person=_CONTEXT)
--- a/turmerictray/admission/pool.py
+++ b/turmerictray/admission/pool.py
@@ -1,8 +1,8 @@
-"""One service's targets and waiting requests: who is sent where, who waits, who is refused.
+"""Targets and pending requests of one service: dispatch, queueing and refusal of requests.
 
-A pool is a plain object; the actor that owns it passes in the time. It answers the load in which
-more is asked than the targets can do: work waits here, where it can still be ordered between teams,
-refused in time or dropped with its caller, and not in the targets, which can do none of that.
+A pool is a plain object; the actor that owns it passes in the time. Under overload, requests wait
+in the pool rather than at the targets. Here they can still be reordered between teams, refused in
+time or dropped when their caller disconnects; targets can do none of that.
 """
 
 import math
@@ -12,12 +12,17 @@
 from enum import Enum
 from heapq import heapify, heappop, heappush
 
+from turmerictray.admission.available_targets import AvailableTargets
 from turmerictray.admission.budget import RetryBudget
-from turmerictray.admission.line import OLDEST_EVERY, WaitingLine
-from turmerictray.admission.openings import Openings
-from turmerictray.admission.pace import Pace
-from turmerictray.admission.turns import work_of
-from turmerictray.admission.window import READ_AHEAD_S, engine_open, plain_open, window_part
+from turmerictray.admission.dispatch_order import OLDEST_REQUEST_INTERVAL, DispatchOrder
+from turmerictray.admission.team_dispatch_order import request_work
+from turmerictray.admission.throughput import Throughput
+from turmerictray.admission.window import (
+    ENGINE_WINDOW_S,
+    engine_has_capacity,
+    plain_target_has_capacity,
+    window_fraction,
+)
 from turmerictray.config.routes import ServiceSpec
 from turmerictray.core.errors import NoTarget, QueueFull, WontBeServed
 from turmerictray.core.ids import (
@@ -28,12 +33,12 @@
     TeamId,
     ZoneId,
 )
-from turmerictray.fairness.queue import FairQueue, Pending
-from turmerictray.fairness.recent import Leads, RecentService
-from turmerictray.routing.load import OpenCall, OpenRead, TargetLoad, TargetPhase
+from turmerictray.fairness.queue import FairQueue, PendingRequest
+from turmerictray.fairness.recent_usage import ExcessUsage, RecentUsage
+from turmerictray.routing.load import ActiveCall, PendingPrefill, TargetLoad, TargetPhase
 from turmerictray.routing.place import (
     Placement,
-    PlacePrompt,
+    PromptPlacementRule,
     candidates,
     place_plain,
     place_prompt,
@@ -41,37 +46,41 @@
 from turmerictray.routing.pool_targets import PoolTargets, ShardTargets
 from turmerictray.routing.prompt import Prompt
 
-_QUEUE_PER_TEAM = 256
-"""Waiting requests of one team, of all routers where one schedules for all; more than can be served
-within any objective."""
+_MAX_PENDING_PER_TEAM = 256
+"""Maximum pending requests of one team; more than can be served within any latency objective. Where
+one router schedules for all, the limit applies to the requests of all routers."""
 
-_LEAST_WAIT_PART = 0.3
-"""Part of its time that a request may wait however long its prompt is."""
+_MIN_WAIT_FRACTION = 0.3
+"""Fraction of the time to its deadline that a request may always wait, however long its prompt."""
 
-_BACKLOGGED = 3
-"""Waiting requests from which a team counts as backlogged. One or two wait now and then for the
-engine that keeps their prompt; counted, any small team would make all others seem ahead of it, and
-the differences between the large ones would be lost."""
+_MIN_BACKLOG = 3
+"""Number of pending requests from which a team counts as backlogged. One or two often wait for the
+engine that caches their prompt. If these counted, any small team would make all others appear ahead
+of it and hide the differences between the large teams."""
 
 _URGENCY_DIGITS = 1
-"""Objectives are told apart to a tenth of a second; what the way to the router took is not."""
+"""Decimal digits to which urgency is rounded. A tenth of a second distinguishes latency objectives
+but ignores differences in the time that requests took to reach the router."""
+
+_PLACEMENT_RETRY_S = 0.1
+"""Interval after which placement of a request that waits for an engine is attempted again. It is
+attempted earlier when that engine has capacity, or when an engine for which no request waits gets
+capacity. In this interval the work of the engines changes by a few prompts, and an engine that no
+longer responds is noticed. Attempts after every message would need more processor time than the
+scheduler of a large fleet has."""
 
-_LOOK_AGAIN_S = 0.1
-"""A request that waits for an engine is looked at again when that engine has room, when one gets
-room that nobody waits for, and else after this time: by then what engines have to do has changed
-by a few prompts, and one that has fallen silent shows. Looked at with each message instead, the
-requests of a large fleet need more processor time than a scheduler has."""
+_CANDIDATES_PER_TEAM = 8
+"""Number of pending requests of a team that are considered in one round."""
 
-_LOOK_BEHIND = 8
-_MOST_LOOKED_AT = 12
-"""Waiting requests looked at in vain in one round: bounds its time when the queue is long."""
+_MAX_FAILED_ATTEMPTS = 12
+"""Maximum unsuccessful placement attempts in one round; bounds its duration with long queues."""
 
 
 @dataclass
-class _Looks:
-    """How many requests may still be looked at in vain."""
+class _FailedAttemptLimit:
+    """Remaining unsuccessful placement attempts of a scheduling round."""
 
-    left: int
+    remaining: int
 
 
 class Outcome(Enum):
@@ -87,36 +96,39 @@
 
 
 @dataclass
-class Wanted:
-    """What a waiting request needs.
+class PlacementContext:
+    """Requirements and placement state of a pending request.
 
     Attributes
     ----------
     call_id : int
+        Identifies the send to a target.
     prompt : Prompt or None
         None for plain services.
     exclude : frozenset of str
-        Targets it has been sent to.
+        Targets that the request was already sent to.
     origin : NodeId
-        The router that sends it; empty for this router.
+        Router that sends the request; empty for this router.
     zone : ZoneId or None
-        Where that router stands; None for the pool's own zone.
+        Availability zone of that router; None for the zone of the pool.
     digest : RequestDigest
         See :mod:`turmerictray.admission.digest`.
-    apart : bool
-        It is not sent where a suspect has just begun.
-    give_up : float
-        Monotonic seconds at which it ends at the latest.
+    isolated : bool
+        Whether to avoid targets on which a suspect has just started; see
+        :mod:`turmerictray.admission.quarantine`.
+    answer_deadline : float
+        Deadline of the final answer, in monotonic seconds.
     urgency_s : float
-        Seconds that it could wait when it was offered, rounded.
+        Seconds that the request could wait when it was queued, rounded.
     reading_tokens : int
-        Tokens that an engine has to read for it at least, as known when it was offered.
-    held_by : TargetLoad or None
-        The target it waits for.
-    waited_for : TargetLoad or None
-        The target it waited for last, also when it waits no more.
-    looked_at : float
-        Monotonic seconds at which the target was chosen.
+        Least number of tokens that an engine has to read (prefill) for it, as known when it was
+        queued.
+    reserved_target : TargetLoad or None
+        Target that the request waits for.
+    last_reserved_target : TargetLoad or None
+        Target that the request waited for last, even if it no longer waits.
+    last_attempt_at : float
+        Monotonic seconds of the last placement attempt.
     """
 
     call_id: int
@@ -125,39 +137,40 @@
     origin: NodeId = NodeId("")
     zone: ZoneId | None = None
     digest: RequestDigest = RequestDigest("")
-    apart: bool = False
-    give_up: float = math.inf
+    isolated: bool = False
+    answer_deadline: float = math.inf
     urgency_s: float = 0.0
     reading_tokens: int = 0
-    held_by: TargetLoad | None = None
-    waited_for: TargetLoad | None = None
-    looked_at: float = -math.inf
+    reserved_target: TargetLoad | None = None
+    last_reserved_target: TargetLoad | None = None
+    last_attempt_at: float = -math.inf
 
 
 @dataclass(frozen=True)
-class Sent:
-    """A waiting request that is to be sent to a target now."""
+class Dispatch:
+    """A request taken from the queue, with the target to which it is to be sent now."""
 
-    item: Pending
+    pending: PendingRequest
     placement: Placement
 
 
 @dataclass(frozen=True)
 class PoolState:
-    """What a pool does, for operators.
+    """Load and progress of a pool, for operators.
 
     Attributes
     ----------
     waiting : int
+        Number of pending requests.
     pace_per_s : float
-        Work a second by which waits are estimated, in the unit of
-        :func:`~turmerictray.admission.turns.work_of`.
+        Measured throughput, from which waiting times are estimated, as work per second in the unit
+        of :func:`~turmerictray.admission.team_dispatch_order.request_work`.
     ready, idle : int
-        Targets that take requests; of these, the ones with nothing to read.
+        Targets that accept requests, and those of them that have nothing to read.
     sent : float
-        Work sent so far.
+        Total work dispatched.
     refused : int
-        Requests refused so far because their turn would have come too late.
+        Total requests refused because they would have been dispatched too late.
     """
 
     waiting: int
@@ -169,31 +182,33 @@
 
 
 class ServicePool:
-    """The targets of one service and the requests that wait for them.
+    """Targets of one service and the requests that wait for them.
 
     Parameters
     ----------
     name : ServiceName
+        Name of the service.
     zone : ZoneId
-        Where this router stands.
-    ledger : RecentService
-        Orders the teams.
+        Availability zone of this router.
+    ledger : RecentUsage
+        Recent usage of the teams, which determines their order.
     budget : RetryBudget
+        Retry budget of the service.
     place : callable
-        The way of choosing an engine.
+        Function that chooses an engine for a prompt.
     targets : PoolTargets or ShardTargets or None
-        The targets; None for a new set of a whole service's.
+        Targets; None for a new, empty set for the whole service.
     is_suspect : callable
-        Whether a target has ended under a request.
+        Returns whether a target has crashed while running the request with the given digest.
     """
 
     def __init__(
         self,
         name: ServiceName,
         zone: ZoneId,
-        ledger: RecentService,
+        ledger: RecentUsage,
         budget: RetryBudget,
-        place: PlacePrompt = place_prompt,
+        place: PromptPlacementRule = place_prompt,
         targets: PoolTargets | ShardTargets | None = None,
         is_suspect: Callable[[RequestDigest], bool] = lambda _digest: False,
     ) -> None:
@@ -204,252 +219,295 @@
         self.is_suspect = is_suspect
         self._place_prompt = place
         self.targets = PoolTargets(ServiceSpec(name)) if targets is None else targets
-        self.queue = FairQueue(ledger, _QUEUE_PER_TEAM, 0.0)
-        self.routers = 1
-        self._turns: Counter[TeamId] = Counter()
-        self._line = WaitingLine()
-        self._opened_at: dict[TargetId, float] = {}
-        self._pace = Pace()
-        self._sent = 0.0
-        self._refused = 0
-
-    def offer(self, item: Pending, now: float, retry: bool = False) -> None:
+        self.queue = FairQueue(ledger, _MAX_PENDING_PER_TEAM, 0.0)
+        self.router_count = 1
+        self._dispatch_counts: Counter[TeamId] = Counter()
+        self._dispatch_order = DispatchOrder()
+        self._available_since: dict[TargetId, float] = {}
+        self._throughput = Throughput()
+        self._dispatched_work = 0.0
+        self._refused_count = 0
+
+    def enqueue(self, pending: PendingRequest, now: float, retry: bool = False) -> None:
         """Queue a request.
 
+        Parameters
+        ----------
+        pending : PendingRequest
+            Request, with a :class:`PlacementContext` as its context.
+        now : float
+            Monotonic seconds.
+        retry : bool
+            Whether the request was dispatched before. It is then queued first and not refused for
+            its expected wait.
+
         Raises
         ------
         NoTarget
-            Nothing serves the request, or everything has been tried.
+            No target serves the request, or it was already sent to all of them.
         QueueFull
-            The team has too many waiting.
+            The team has too many pending requests.
         WontBeServed
-            By the rate at which requests are sent now, its turn comes too late.
+            At the current throughput, the request would be dispatched after its deadline.
         """
-        wanted: Wanted = item.context
-        loads = candidates(self.targets.loads.values(), wanted.exclude, now)
+        context: PlacementContext = pending.context
+        loads = candidates(self.targets.loads.values(), context.exclude, now)
         if not loads:
             raise NoTarget("no_target", 0.5)
         if not retry:
-            item.deadline = self._wait_until(item, loads, now)
-        wait = self.expected_wait_s(item)
-        if not retry and now + wait > item.deadline:
-            self._refused += 1
-            raise WontBeServed(self._wait_reason(item), wait)
+            pending.deadline = self._queue_deadline(pending, loads, now)
+        wait = self.expected_wait_s(pending)
+        if not retry and now + wait > pending.deadline:
+            self._refused_count += 1
+            raise WontBeServed(self._refusal_reason(pending), wait)
         try:
-            self.queue.push(item, front=retry)
+            self.queue.push(pending, front=retry)
         except QueueFull as exc:
             raise QueueFull(exc.reason, wait) from exc
-        self._line.add(item, first=retry)
+        self._dispatch_order.add(pending, front=retry)
 
-    def _wait_until(self, item: Pending, loads: list[TargetLoad], now: float) -> float:
-        """Until when a request may wait and still be answered in time.
+    def _queue_deadline(
+        self, pending: PendingRequest, loads: list[TargetLoad], now: float
+    ) -> float:
+        """Return the time until which a request may wait and still be answered in time.
 
-        Engines that are asked for more than they can do answer everything late when each request
-        waits as long as it may; the ones that can't be in time any more are refused, so that
-        the others are.
+        The expected reading time is subtracted from the deadline. If every request could wait until
+        its deadline, overloaded engines would answer all requests late. Requests that can no longer
+        be in time are refused instead, so that the others are in time.
         """
-        prompt = item.context.prompt
+        prompt = pending.context.prompt
         if prompt is None:
-            return item.deadline
-        miss = min(prompt.input_tokens - load.kept.kept_tokens(prompt) for load in loads)
-        item.context.reading_tokens = miss
-        item.context.urgency_s = round(item.deadline - now, _URGENCY_DIGITS)
-        reading = self.targets.model.first_event_s(miss) + READ_AHEAD_S / 2
-        # A prompt that takes longer to read than its objective would never be let in.
-        least = now + _LEAST_WAIT_PART * (item.deadline - now)
-        return max(least, item.deadline - reading)
-
-    def expected_wait_s(self, item: Pending) -> float:
-        """Seconds until the request's turn, by the work before it and the pace of sends."""
-        return self._pace.seconds_for(self._line.work_ahead_of(item))
+            return pending.deadline
+        miss_tokens = min(
+            prompt.input_tokens - load.prefix_cache.cached_tokens(prompt) for load in loads
+        )
+        pending.context.reading_tokens = miss_tokens
+        pending.context.urgency_s = round(pending.deadline - now, _URGENCY_DIGITS)
+        reading_s = self.targets.model.first_event_s(miss_tokens) + ENGINE_WINDOW_S / 2
+        # Without this bound, a prompt that takes longer to read than its latency objective would
+        # always be refused.
+        min_deadline = now + _MIN_WAIT_FRACTION * (pending.deadline - now)
+        return max(min_deadline, pending.deadline - reading_s)
+
+    def expected_wait_s(self, pending: PendingRequest) -> float:
+        """Estimate the seconds until a request is dispatched, from the work ahead of it."""
+        return self._throughput.seconds_for(self._dispatch_order.work_ahead_of(pending))
 
     def backlog_s(self) -> float:
-        """Seconds until all that waits has been sent, by the pace of sends."""
-        return self._pace.seconds_for(self._line.work())
+        """Estimate the seconds until all pending requests have been dispatched."""
+        return self._throughput.seconds_for(self._dispatch_order.total_work())
 
-    def _wait_reason(self, item: Pending) -> str:
-        work, wait = self._line.work_ahead_of(item), self.expected_wait_s(item)
-        return f"wait_too_long: {round(work)} before it, {round(wait * 1000)} ms"
+    def _refusal_reason(self, pending: PendingRequest) -> str:
+        work, wait = self._dispatch_order.work_ahead_of(pending), self.expected_wait_s(pending)
+        return f"wait_too_long: work ahead {round(work)}, expected wait {round(wait * 1000)} ms"
 
     def backlogged(self) -> set[TeamId]:
-        """Teams that wait for room."""
+        """Return the teams with enough pending requests to count as backlogged."""
         teams = self.queue.backlogged()
-        return {team for team in teams if self.queue.depth(team) >= _BACKLOGGED}
+        return {team for team in teams if self.queue.depth(team) >= _MIN_BACKLOG}
 
-    def next_sent(self, now: float) -> Sent | None:
-        """The first of :meth:`sends`."""
-        return next(self.sends(now), None)
+    def dispatch_next(self, now: float) -> Dispatch | None:
+        """Return the first dispatch of :meth:`dispatch_ready`, or None."""
+        return next(self.dispatch_ready(now), None)
 
-    def sends(self, now: float) -> Iterator[Sent]:
-        """Take the requests that may be sent now, and book them on their targets.
+    def dispatch_ready(self, now: float) -> Iterator[Dispatch]:
+        """Take the requests that can be dispatched now and assign them to targets.
 
-        Teams come in the order of the ledger. Requests whose engine has room, and those that have
-        none yet, come first; then the ones that may be better off at an engine that nobody waits
-        for. Behind a request whose engine is full, the team's next ones are looked at too, or an
-        engine would idle while work for it waits.
+        Teams are served in the order of the ledger. Requests whose chosen engine has capacity, and
+        those without a chosen engine, come first. They are followed by those that may fare better
+        at an engine for which no request waits. If the engine of a team's first request is full,
+        the next requests of the team are considered too; otherwise an engine would idle while
+        requests for it are pending.
         """
         if not len(self.queue):
-            self._pace.note_idle()
+            self._throughput.note_idle()
             return
-        openings = Openings(self.targets, self.routers, now)
-        unclaimed_at = self._unclaimed_at(openings, now)
-        looks = _Looks(_MOST_LOOKED_AT)
-
-        def may_do_better(wanted: Wanted, _part: float) -> bool:
-            return wanted.looked_at < unclaimed_at or now - wanted.looked_at >= _LOOK_AGAIN_S
-
-        def has_opening(wanted: Wanted, part: float) -> bool:
-            if wanted.held_by is None:
-                return wanted.apart or may_do_better(wanted, part)
-            if not self._is_placed(wanted, now):
+        available = AvailableTargets(self.targets, self.router_count, now)
+        unreserved_since = self._unreserved_since(available, now)
+        attempts = _FailedAttemptLimit(_MAX_FAILED_ATTEMPTS)
+
+        def may_improve(context: PlacementContext, _fraction: float) -> bool:
+            return (
+                context.last_attempt_at < unreserved_since
+                or now - context.last_attempt_at >= _PLACEMENT_RETRY_S
+            )
+
+        def target_available(context: PlacementContext, fraction: float) -> bool:
+            if context.reserved_target is None:
+                return context.isolated or may_improve(context, fraction)
+            if not self._is_reservation_valid(context, now):
                 return True
-            return wanted.held_by.info.id in openings.of(part)
+            return context.reserved_target.info.id in available.for_fraction(fraction)
 
-        yield from self._send_those(has_opening, openings, looks, now)
-        yield from self._send_those(may_do_better, openings, looks, now)
+        yield from self._dispatch_matching(target_available, available, attempts, now)
+        yield from self._dispatch_matching(may_improve, available, attempts, now)
 
-    def _send_those(
+    def _dispatch_matching(
         self,
-        is_worth_a_look: Callable[[Wanted, float], bool],
-        openings: Openings,
-        looks: "_Looks",
+        should_attempt: Callable[[PlacementContext, float], bool],
+        available: AvailableTargets,
+        attempts: "_FailedAttemptLimit",
         now: float,
-    ) -> Iterator[Sent]:
-        """Send requests in the order of their teams, which a send changes for its own team only."""
+    ) -> Iterator[Dispatch]:
+        """Dispatch requests in the order of their teams.
+
+        A dispatch changes the place of its own team only, so a heap keeps the order.
+        """
         backlogged = self.backlogged()
-        leads = self.ledger.leads(backlogged)
-        most = self.ledger.most() if backlogged else 0.0
-        teams = [(self.queue.order(team), team) for team in self.queue.backlogged()]
+        excesses = self.ledger.excess_usage(backlogged)
+        top_usage = self.ledger.max_usage() if backlogged else 0.0
+        teams = [(self.queue.sort_key(team), team) for team in self.queue.backlogged()]
         heapify(teams)
-        while teams and openings and looks.left:
+        while teams and available and attempts.remaining:
             _, team = heappop(teams)
-            part = window_part(self._lead(team, leads, backlogged, most))
-            for item in self._next_of(team):
-                if not looks.left or not is_worth_a_look(item.context, part):
+            fraction = window_fraction(self._excess_tokens(team, excesses, backlogged, top_usage))
+            for pending in self._next_requests(team):
+                if not attempts.remaining or not should_attempt(pending.context, fraction):
                     continue
-                placement = self._place(item.context, part, now)
+                placement = self._place(pending.context, fraction, now)
                 if placement is None:
-                    looks.left -= 1
+                    attempts.remaining -= 1
                     continue
-                self._remove(item)
-                self._book(item, placement, now)
-                openings.note_sent(placement.load)
-                yield Sent(item, placement)
+                self._remove(pending)
+                self._record_dispatch(pending, placement, now)
+                available.note_sent(placement.load)
+                yield Dispatch(pending, placement)
                 if self.queue.depth(team):
-                    heappush(teams, (self.queue.order(team), team))
+                    heappush(teams, (self.queue.sort_key(team), team))
                 break
 
-    def _is_placed(self, wanted: Wanted, now: float) -> bool:
-        """Whether a request waits for a target that still takes requests."""
-        load = wanted.held_by
-        is_listed = self.targets.loads.get(load.info.id) is load
-        return is_listed and load.info.phase is TargetPhase.READY and not load.avoided(now)
+    def _is_reservation_valid(self, context: PlacementContext, now: float) -> bool:
+        """Return whether a request waits for a target that still accepts requests."""
+        load = context.reserved_target
+        is_current = self.targets.loads.get(load.info.id) is load
+        return is_current and load.info.phase is TargetPhase.READY and not load.is_avoided(now)
+
+    def _unreserved_since(self, available: AvailableTargets, now: float) -> float:
+        """Return when an engine for which no request waits last became available.
 
-    def _unclaimed_at(self, openings: Openings, now: float) -> float:
-        """When an engine that nobody waits for got room last; requests may be better off there."""
+        Requests that wait for another engine may be dispatched sooner there.
+        """
         if self.targets.spec.engine is None:
             return math.inf
-        newest = -math.inf
-        opened_before, self._opened_at = self._opened_at, {}
-        for target in openings.of(1.0):
+        latest = -math.inf
+        available_before, self._available_since = self._available_since, {}
+        for target in available.for_fraction(1.0):
             load = self.targets.loads[target]
             if load.info.phase is not TargetPhase.READY:
                 continue
-            opened_at = self._opened_at[target] = opened_before.get(target, now)
-            if not load.held:
-                newest = max(newest, opened_at)
-        return newest
-
-    def _next_of(self, team: TeamId) -> list[Pending]:
-        """The team's requests that come next: mostly the most urgent, now and then the oldest."""
-        if self._turns[team] % OLDEST_EVERY == 0:
-            return self.queue.waiting(team, _LOOK_BEHIND)
-        return self._line.next(team, _LOOK_BEHIND)
-
-    def _lead(self, team: TeamId, leads: Leads, backlogged: set[TeamId], most: float) -> float:
-        lead = leads.of(team)
-        return lead if lead or team not in backlogged else -self.ledger.behind(team, most)
-
-    def _place(self, wanted: Wanted, part: float, now: float) -> Placement | None:
-        wanted.looked_at = now
-        loads = candidates(self.targets.loads.values(), wanted.exclude, now)
-        if wanted.apart:
-            loads = [load for load in loads if not self._begins_suspect(load, now)]
-        if wanted.prompt is None:
-            loads = [load for load in loads if plain_open(load, self.routers, now)]
-            return place_plain(loads, wanted.call_id, self.zone, now)
-        zone = wanted.zone or self.zone
+            available_since = self._available_since[target] = available_before.get(target, now)
+            if not load.reserved:
+                latest = max(latest, available_since)
+        return latest
+
+    def _next_requests(self, team: TeamId) -> list[PendingRequest]:
+        """Return the team's next requests: usually the most urgent, regularly the oldest."""
+        if self._dispatch_counts[team] % OLDEST_REQUEST_INTERVAL == 0:
+            return self.queue.waiting(team, _CANDIDATES_PER_TEAM)
+        return self._dispatch_order.next_requests(team, _CANDIDATES_PER_TEAM)
+
+    def _excess_tokens(
+        self, team: TeamId, excesses: ExcessUsage, backlogged: set[TeamId], top_usage: float
+    ) -> float:
+        """Return the team's excess of recent usage; its deficit, negated, if it is backlogged."""
+        excess_tokens = excesses.of(team)
+        return (
+            excess_tokens
+            if excess_tokens or team not in backlogged
+            else -self.ledger.deficit(team, top_usage)
+        )
+
+    def _place(self, context: PlacementContext, fraction: float, now: float) -> Placement | None:
+        context.last_attempt_at = now
+        loads = candidates(self.targets.loads.values(), context.exclude, now)
+        if context.isolated:
+            loads = [load for load in loads if not self._has_starting_suspect(load, now)]
+        if context.prompt is None:
+            loads = [
+                load for load in loads if plain_target_has_capacity(load, self.router_count, now)
+            ]
+            return place_plain(loads, context.call_id, self.zone, now)
+        zone = context.zone or self.zone
         placement = self._place_prompt(
-            loads, wanted.prompt, wanted.call_id, self.targets.model, zone, now
+            loads, context.prompt, context.call_id, self.targets.model, zone, now
         )
-        if placement is None or engine_open(placement.load, self.targets.model, now, part):
+        if placement is None or engine_has_capacity(
+            placement.load, self.targets.model, now, fraction
+        ):
             return placement
-        # Waiting for the engine that keeps the prompt is worth it: reading the prompt elsewhere
-        # takes time from the requests there. The line before the engine counts in its cost.
-        self._hold(wanted, placement)
+        # Waiting for the engine that caches the prompt is cheaper than reading it elsewhere, which
+        # would delay the requests there. The cost of the chosen engine already includes the
+        # requests that wait for it.
+        self._reserve(context, placement)
         return None
 
-    def _begins_suspect(self, load: TargetLoad, now: float) -> bool:
-        return any(digest and self.is_suspect(digest) for digest in load.beginning(now))
+    def _has_starting_suspect(self, load: TargetLoad, now: float) -> bool:
+        return any(digest and self.is_suspect(digest) for digest in load.starting_requests(now))
 
-    def _hold(self, wanted: Wanted, placement: Placement) -> None:
-        if wanted.held_by is not placement.load:
-            self.release(wanted)
-            wanted.held_by = wanted.waited_for = placement.load
-        placement.load.hold(wanted.call_id, placement.miss_tokens)
+    def _reserve(self, context: PlacementContext, placement: Placement) -> None:
+        if context.reserved_target is not placement.load:
+            self.release(context)
+            context.reserved_target = context.last_reserved_target = placement.load
+        placement.load.reserve(context.call_id, placement.miss_tokens)
 
     @staticmethod
-    def release(wanted: Wanted) -> None:
-        """The request waits for no target any more."""
-        if wanted.held_by is not None:
-            wanted.held_by.release(wanted.call_id)
-            wanted.held_by = None
-
-    def withdraw(self, call_id: int) -> Pending | None:
-        """Take a waiting request out of the queue; None when it doesn't wait."""
+    def release(context: PlacementContext) -> None:
+        """Release the target reserved for a request, if any."""
+        if context.reserved_target is not None:
+            context.reserved_target.release(context.call_id)
+            context.reserved_target = None
+
+    def withdraw(self, call_id: int) -> PendingRequest | None:
+        """Remove and return a pending request; None if it is not pending."""
         for team in self.queue.backlogged():
-            for item in self.queue.waiting(team, self.queue.depth(team)):
-                if item.context.call_id == call_id:
-                    self._remove(item)
-                    self.release(item.context)
-                    return item
+            for pending in self.queue.waiting(team, self.queue.depth(team)):
+                if pending.context.call_id == call_id:
+                    self._remove(pending)
+                    self.release(pending.context)
+                    return pending
         return None
 
-    def _remove(self, item: Pending) -> None:
-        self.queue.discard(item)
-        self._line.remove(item)
+    def _remove(self, pending: PendingRequest) -> None:
+        self.queue.discard(pending)
+        self._dispatch_order.remove(pending)
 
-    def expire(self, now: float) -> list[Pending]:
-        """Take out the requests that have waited their time."""
+    def expire(self, now: float) -> list[PendingRequest]:
+        """Remove and return the requests whose deadline has passed."""
         expired = self.queue.expire(now)
-        for item in expired:
-            self._line.remove(item)
-            self.release(item.context)
+        for pending in expired:
+            self._dispatch_order.remove(pending)
+            self.release(pending.context)
         return expired
 
-    def _book(self, item: Pending, placement: Placement, now: float) -> None:
-        wanted: Wanted = item.context
-        self.release(wanted)
-        self._turns[item.team] += 1
-        self.ledger.charge(item.team, item.hint)
-        read = OpenRead(
+    def _record_dispatch(self, pending: PendingRequest, placement: Placement, now: float) -> None:
+        context: PlacementContext = pending.context
+        self.release(context)
+        self._dispatch_counts[pending.team] += 1
+        self.ledger.charge(pending.team, pending.estimated_cost)
+        read = PendingPrefill(
             now,
             placement.miss_tokens,
             placement.ahead_tokens,
             placement.expected_s,
             placement.load.slowness,
         )
-        call = OpenCall(item.team, item.hint, wanted.origin, wanted.give_up, wanted.digest)
-        placement.load.sent(wanted.call_id, read, call)
-        if wanted.prompt is not None:
-            placement.load.kept.note_read(wanted.prompt)
-            self.targets.note_read(placement.load.info.id, wanted.prompt.shared)
-        self._sent += work_of(item)
-        self._pace.note_sent(work_of(item), now)
-
-    def unbook(self, sent: Sent) -> None:
-        """Take back a booking whose request is not sent."""
-        self._end(sent.placement.load, sent.item.context.call_id, 0.0)
+        call = ActiveCall(
+            pending.team,
+            pending.estimated_cost,
+            context.origin,
+            context.answer_deadline,
+            context.digest,
+        )
+        placement.load.record_sent(context.call_id, read, call)
+        if context.prompt is not None:
+            placement.load.prefix_cache.note_read(context.prompt)
+            self.targets.note_read(placement.load.info.id, context.prompt.shared)
+        self._dispatched_work += request_work(pending)
+        self._throughput.note_sent(request_work(pending), now)
+
+    def cancel_dispatch(self, dispatch: Dispatch) -> None:
+        """Undo the dispatch of a request that was not sent after all."""
+        self._end(dispatch.placement.load, dispatch.pending.context.call_id, 0.0)
 
     def settle(
         self,
@@ -459,60 +517,73 @@
         now: float,
         cost: float | None = None,
     ) -> None:
-        """A send has ended.
+        """Record the end of a send and correct the charge of its team.
 
         Parameters
         ----------
+        target : TargetId
+            Target of the send.
+        call_id : int
+            Identifies the send.
+        outcome : Outcome
+            How it ended.
+        now : float
+            Monotonic seconds.
         cost : float or None
-            What it took from the pool, in tokens read; None for what was charged.
+            Actual cost, in tokens read; None to keep the cost charged at dispatch.
         """
         load = self.targets.loads.get(target)
         if load is None or not self._end(load, call_id, cost):
             return
         if outcome is Outcome.NOT_REACHED:
-            load.not_reached(now)
+            load.record_unreachable(now)
         elif outcome in (Outcome.DONE, Outcome.FAILED, Outcome.TARGET_ENDED):
-            load.answered(outcome is Outcome.DONE, now)
+            load.record_answer(outcome is Outcome.DONE, now)
 
     def _end(self, load: TargetLoad, call_id: int, cost: float | None) -> bool:
-        call = load.ended(call_id)
+        call = load.record_end(call_id)
         if call is not None and cost is not None:
             self.ledger.settle(call.team, call.charged, cost)
         return call is not None
 
     def drop_lost_calls(self, alive: Collection[str], now: float) -> int:
-        """End the calls of routers that are gone, and those whose end was never told.
+        """Remove the calls of routers that are gone and calls whose end was never reported.
+
+        Otherwise their engines would count as busy permanently.
 
-        Their engines would count as busy with them for good.
+        Returns
+        -------
+        int
+            Number of calls removed.
         """
         lost = [
             (load, call_id)
             for load in self.targets.loads.values()
-            for call_id in load.lost_calls(alive, now)
+            for call_id in load.orphaned_calls(alive, now)
         ]
         for load, call_id in lost:
-            load.ended(call_id)
+            load.record_end(call_id)
         return len(lost)
 
     def state(self, now: float) -> PoolState:
-        """What the pool does now."""
+        """Return the pool's load and progress."""
         read_per_s = self.targets.model.read_per_s
         ready = [
-            load.standing(now, read_per_s)
+            load.load_snapshot(now, read_per_s)
             for load in self.targets.loads.values()
             if load.info.phase is TargetPhase.READY
         ]
         return PoolState(
             waiting=len(self.queue),
-            pace_per_s=self._pace.per_s,
+            pace_per_s=self._throughput.per_s,
             ready=len(ready),
-            idle=sum(not standing.unread_tokens for standing in ready),
-            sent=self._sent,
-            refused=self._refused,
+            idle=sum(not snapshot.unread_tokens for snapshot in ready),
+            sent=self._dispatched_work,
+            refused=self._refused_count,
         )
 
     def describe(self, now: float) -> dict[str, object]:
-        """The pool's state, for operators."""
+        """Return the pool's state as a dictionary, for operators."""
         return {
             "waiting": len(self.queue),
             "read_tokens_per_s": round(self.targets.model.read_per_s),
