--- a/turmerictray/admission/quarantine.py
+++ b/turmerictray/admission/quarantine.py
@@ -1,9 +1,10 @@
-"""Which requests have ended the targets that ran them, and what is still done with one.
+"""Quarantine of requests that crash the targets that run them.
 
-A request may end every target that begins to run it, and its caller sends it again (a *query of
-death*). When a target ends, each request that had just begun there is a suspect, and most of them
-are innocent. A request is told by its digest (see :mod:`turmerictray.admission.digest`), counted by
-the targets that have ended under it, at all routers together, and cleared by any answer.
+A *query of death* crashes every target that starts to run it, and its caller sends it again. When a
+target crashes, every request that had just started there is a suspect, although most of them are
+innocent. Requests are identified by their digest (see :mod:`turmerictray.admission.digest`). For
+each suspect, the targets that crashed while running it are counted over all routers. Any answer
+clears the request.
 """
 
 import threading
@@ -15,85 +16,87 @@
 from turmerictray.core.logs import log_event
 from turmerictray.membership.messages import CrashReport
 
-HELD_AT = 3
-"""Targets ended under a request from which on it is sent to none. A request that ran beside the
-culprit three times in a row, each time just begun, is rare; one more would cost one more target."""
+QUARANTINE_THRESHOLD = 3
+"""Number of crashed targets from which a request is quarantined. An innocent request rarely runs
+beside the culprit three times in a row, each time just started. A higher threshold would cost one
+more target."""
 
-LAST_TRY_AT = 2
-"""Targets ended from which on an attempt has no further try, and one copy runs at a time, where no
-other suspect has just begun: one more ending then tells of one request."""
+NO_RETRY_THRESHOLD = 2
+"""Number of crashed targets from which a request is not retried within an attempt. From then on one
+copy of it runs at a time, on a target where no other suspect has just started, so that a further
+crash can be attributed to this request."""
 
-HELD_S = 600.0
-"""Time without a sign of a request after which it is forgotten. A caller that honours the
-``Retry-After`` of a refusal finds it forgotten."""
+QUARANTINE_S = 600.0
+"""Time without a new send, crash or report after which a suspect is forgotten. It is also the
+``Retry-After`` of a quarantined request, so a caller that honours it is served again."""
 
-_ONE_AT_A_TIME_S = 0.5
-"""Retry-After while another copy of a suspect runs."""
+_CONCURRENT_COPY_RETRY_S = 0.5
+"""``Retry-After`` while another copy of a suspect runs."""
 
-_MOST = 4096
-"""Requests that are remembered, about 200 bytes each."""
+_MAX_SUSPECTS = 4096
+"""Maximum number of suspects in memory, about 200 bytes each."""
 
-_MOST_TARGETS = 16
-"""Targets kept of a request; bounds a report's size."""
+_MAX_TARGETS_PER_SUSPECT = 16
+"""Maximum number of targets recorded per suspect; bounds the size of a report."""
 
-_MOST_REPORTS = 64
-"""Reports in one message, about 4 KB."""
+_MAX_UPDATES_PER_MESSAGE = 64
+"""Maximum number of new reports in one message, about 4 KB."""
 
-_PASSED_ON = 4
-"""Messages in which news is passed on; see :mod:`turmerictray.membership.table`."""
+_SENDS_PER_UPDATE = 4
+"""Number of messages in which a change is reported; see :mod:`turmerictray.membership.table`."""
 
-_REMINDERS = 8
-"""Requests with two endings or more that each message repeats in turn, for routers that have just
-started or were cut off."""
+_REPEATED_REPORTS = 8
+"""Number of suspects with at least ``NO_RETRY_THRESHOLD`` crashes that each message reports again,
+in rotation, for routers that have just started or were disconnected."""
 
 
 @dataclass
 class _Suspect:
-    """What is known of a request.
+    """A request under suspicion.
 
     Attributes
     ----------
-    ended : set of TargetId
-        Targets that have ended under it.
+    crashed : set of TargetId
+        Targets that crashed while running it.
     cleared : set of TargetId
-        Those of them that ended before it had an answer elsewhere.
+        Those of them that crashed before the request was answered by another target.
     seen_at : float
-        Monotonic seconds of the last sign of it.
+        Monotonic seconds of the last send, crash or report.
     running : int
-        Copies that run by this router.
-    told : int
-        Messages that have told of its newest change.
+        Copies that this router has sent and that still run.
+    times_sent : int
+        Number of messages that have reported its latest change.
     """
 
     seen_at: float
-    ended: set[TargetId] = field(default_factory=set)
+    crashed: set[TargetId] = field(default_factory=set)
     cleared: set[TargetId] = field(default_factory=set)
     running: int = 0
-    told: int = 0
+    times_sent: int = 0
 
     @property
-    def count(self) -> int:
-        """Targets that speak against it."""
-        return len(self.ended - self.cleared)
+    def crash_count(self) -> int:
+        """Number of crashed targets that still count against the request."""
+        return len(self.crashed - self.cleared)
 
     @property
-    def is_held(self) -> bool:
-        """Whether it is sent to no target."""
-        return self.count >= HELD_AT
+    def is_quarantined(self) -> bool:
+        """Whether the request is quarantined."""
+        return self.crash_count >= QUARANTINE_THRESHOLD
 
 
 class Quarantine:
-    """Counts the targets that ended under requests; used by many threads.
+    """Crash counts of suspect requests; safe for use by many threads.
 
-    Reports of peers are merged as sets, so they may come late, twice and in any order.
+    Reports of peers are merged as sets, so they may arrive late, repeatedly and in any order.
     """
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._suspects: dict[RequestDigest, _Suspect] = {}
-        self._turn = 0
+        self._rotation = 0
 
-    # -- from this router's requests -----------------------------------------------------------
+    # -- local requests ------------------------------------------------------------------------
 
     def check(self, digest: RequestDigest, now: float) -> None:
         """Check that a request may be sent to a target.
@@ -101,166 +104,190 @@
         Raises
         ------
         Quarantined
+            The request is quarantined.
         """
         with self._lock:
-            suspect = self._known(digest, now)
-            if suspect is None or not suspect.is_held:
+            suspect = self._find(digest, now)
+            if suspect is None or not suspect.is_quarantined:
                 return
             suspect.seen_at = now
-        raise Quarantined(f"quarantined: {digest} ended {suspect.count} targets", HELD_S)
+        raise Quarantined(
+            f"quarantined: {digest} crashed {suspect.crash_count} targets", QUARANTINE_S
+        )
 
-    def begin(self, digest: RequestDigest, now: float) -> bool:
-        """A request is about to be sent; whether :meth:`end` has to follow.
+    def begin_run(self, digest: RequestDigest, now: float) -> bool:
+        """Record that a request is about to be sent; return whether :meth:`end_run` has to follow.
 
         Raises
         ------
         Quarantined
-            It is held, or a suspect of which another copy runs.
+            The request is quarantined, or it is a suspect of which another copy runs.
         """
         self.check(digest, now)
         with self._lock:
-            suspect = self._known(digest, now)
+            suspect = self._find(digest, now)
             if suspect is None:
                 return False
-            if suspect.running > 0 and suspect.count >= LAST_TRY_AT:
-                raise Quarantined(f"quarantined: another copy of {digest} runs", _ONE_AT_A_TIME_S)
+            if suspect.running > 0 and suspect.crash_count >= NO_RETRY_THRESHOLD:
+                raise Quarantined(
+                    f"quarantined: another copy of {digest} runs", _CONCURRENT_COPY_RETRY_S
+                )
             suspect.running += 1
             return True
 
-    def end(self, digest: RequestDigest) -> None:
-        """A run that :meth:`begin` has counted is over."""
+    def end_run(self, digest: RequestDigest) -> None:
+        """Record the end of a run that :meth:`begin_run` counted."""
         with self._lock:
             suspect = self._suspects.get(digest)
             if suspect is not None and suspect.running > 0:
                 suspect.running -= 1
 
-    def endings(self, digest: RequestDigest, now: float) -> int:
-        """Targets that speak against a request."""
+    def crash_count(self, digest: RequestDigest, now: float) -> int:
+        """Return the number of crashed targets that count against a request."""
         with self._lock:
-            suspect = self._known(digest, now)
-            return 0 if suspect is None else suspect.count
+            suspect = self._find(digest, now)
+            return 0 if suspect is None else suspect.crash_count
 
-    def may_try_again(self, digest: RequestDigest, now: float) -> bool:
-        """Whether a request whose try failed may be sent to another target at once."""
-        return self.endings(digest, now) < LAST_TRY_AT
+    def may_retry(self, digest: RequestDigest, now: float) -> bool:
+        """Return whether a request that failed may be sent to another target immediately."""
+        return self.crash_count(digest, now) < NO_RETRY_THRESHOLD
 
-    def note_ended(self, digest: RequestDigest, target: TargetId, now: float) -> int:
-        """A target ended while it began to run a request; returns how many have by now."""
+    def record_crash(self, digest: RequestDigest, target: TargetId, now: float) -> int:
+        """Record that a target crashed when it started a request; return the crash count."""
         with self._lock:
             suspect = self._suspects.get(digest) or self._add(digest, now)
-            self._extend(digest, suspect, {target}, set(), "own")
+            self._add_targets(digest, suspect, {target}, set(), "own")
             suspect.seen_at = now
-            return suspect.count
+            return suspect.crash_count
 
     def note_answered(self, digest: RequestDigest) -> None:
-        """A request has had an answer, so it did not end the targets that ended beside it."""
+        """Record an answer to a request, which clears it of the crashes so far."""
         with self._lock:
             suspect = self._suspects.get(digest)
-            if suspect is not None and suspect.count:
-                self._extend(digest, suspect, set(), set(suspect.ended), "own")
+            if suspect is not None and suspect.crash_count:
+                self._add_targets(digest, suspect, set(), set(suspect.crashed), "own")
 
-    # -- with peers ----------------------------------------------------------------------------
+    # -- exchange with peers -------------------------------------------------------------------
 
     def merge(self, reports: Iterable[CrashReport], now: float) -> None:
-        """Take what a peer knows."""
+        """Merge the crash reports of a peer."""
         with self._lock:
             for report in reports:
-                if report.age_s >= HELD_S:
+                if report.age_s >= QUARANTINE_S:
                     continue
                 digest, seen_at = RequestDigest(report.digest), now - report.age_s
-                suspect = self._known(digest, now) or self._add(digest, seen_at)
+                suspect = self._find(digest, now) or self._add(digest, seen_at)
                 suspect.seen_at = max(suspect.seen_at, seen_at)
-                ended = {TargetId(target) for target in report.ended}
+                crashed = {TargetId(target) for target in report.ended}
                 cleared = {TargetId(target) for target in report.cleared}
-                self._extend(digest, suspect, ended, cleared, "peer")
+                self._add_targets(digest, suspect, crashed, cleared, "peer")
 
-    def has_news(self) -> bool:
-        """Whether there is something that peers should hear soon."""
-        return any(suspect.told < _PASSED_ON for suspect in self._suspects.copy().values())
+    def has_pending_updates(self) -> bool:
+        """Return whether there are changes to report to peers soon."""
+        return any(
+            suspect.times_sent < _SENDS_PER_UPDATE for suspect in self._suspects.copy().values()
+        )
 
     def take_reports(self, now: float) -> list[CrashReport]:
-        """What the next message to peers tells: news, and some of the worst requests in turn."""
+        """Return the reports for the next message to peers.
+
+        These are recent changes, highest crash counts first, and some of the suspects with many
+        crashes, in rotation.
+        """
         with self._lock:
-            news = [d for d, suspect in self._suspects.items() if suspect.told < _PASSED_ON]
-            news.sort(key=lambda digest: self._suspects[digest].count, reverse=True)
-            told = news[:_MOST_REPORTS]
-            for digest in told:
-                self._suspects[digest].told += 1
-            told += [digest for digest in self._reminders() if digest not in told]
-            return [_report(digest, self._suspects[digest], now) for digest in told]
-
-    def _reminders(self) -> list[RequestDigest]:
-        worst = [d for d, suspect in self._suspects.items() if suspect.count >= LAST_TRY_AT]
-        if not worst:
+            updates = [
+                d for d, suspect in self._suspects.items() if suspect.times_sent < _SENDS_PER_UPDATE
+            ]
+            updates.sort(key=lambda digest: self._suspects[digest].crash_count, reverse=True)
+            reported = updates[:_MAX_UPDATES_PER_MESSAGE]
+            for digest in reported:
+                self._suspects[digest].times_sent += 1
+            reported += [digest for digest in self._repeated_reports() if digest not in reported]
+            return [_report(digest, self._suspects[digest], now) for digest in reported]
+
+    def _repeated_reports(self) -> list[RequestDigest]:
+        repeated = [
+            d for d, suspect in self._suspects.items() if suspect.crash_count >= NO_RETRY_THRESHOLD
+        ]
+        if not repeated:
             return []
-        self._turn = (self._turn + _REMINDERS) % len(worst)
-        return [worst[(self._turn + n) % len(worst)] for n in range(min(_REMINDERS, len(worst)))]
+        self._rotation = (self._rotation + _REPEATED_REPORTS) % len(repeated)
+        return [
+            repeated[(self._rotation + n) % len(repeated)]
+            for n in range(min(_REPEATED_REPORTS, len(repeated)))
+        ]
 
     # -- memory --------------------------------------------------------------------------------
 
-    def held(self) -> int:
-        """How many requests are held."""
-        return sum(suspect.is_held for suspect in self._suspects.copy().values())
+    def quarantined_count(self) -> int:
+        """Return the number of quarantined requests."""
+        return sum(suspect.is_quarantined for suspect in self._suspects.copy().values())
 
     def sweep(self, now: float) -> None:
-        """Forget requests of which nothing was heard for long."""
+        """Remove suspects that were not seen for ``QUARANTINE_S`` seconds."""
         with self._lock:
-            old = [d for d, suspect in self._suspects.items() if now - suspect.seen_at >= HELD_S]
-            for digest in old:
-                self._forget(digest)
+            expired = [
+                d for d, suspect in self._suspects.items() if now - suspect.seen_at >= QUARANTINE_S
+            ]
+            for digest in expired:
+                self._remove(digest)
 
-    def _known(self, digest: RequestDigest, now: float) -> _Suspect | None:
+    def _find(self, digest: RequestDigest, now: float) -> _Suspect | None:
         suspect = self._suspects.get(digest)
-        if suspect is not None and now - suspect.seen_at >= HELD_S:
-            self._forget(digest)
+        if suspect is not None and now - suspect.seen_at >= QUARANTINE_S:
+            self._remove(digest)
             return None
         return suspect
 
     def _add(self, digest: RequestDigest, seen_at: float) -> _Suspect:
-        if len(self._suspects) >= _MOST:
-            self._forget(min(self._suspects, key=self._worth))
+        if len(self._suspects) >= _MAX_SUSPECTS:
+            self._remove(min(self._suspects, key=self._eviction_order))
         suspect = self._suspects[digest] = _Suspect(seen_at)
         return suspect
 
-    def _worth(self, digest: RequestDigest) -> tuple[int, float]:
+    def _eviction_order(self, digest: RequestDigest) -> tuple[int, float]:
         suspect = self._suspects[digest]
-        return suspect.count, suspect.seen_at
+        return suspect.crash_count, suspect.seen_at
 
-    def _forget(self, digest: RequestDigest) -> None:
+    def _remove(self, digest: RequestDigest) -> None:
         suspect = self._suspects.pop(digest)
-        if suspect.is_held:
-            log_event("request_released", digest=digest, reason="not seen for long")
+        if suspect.is_quarantined:
+            log_event("request_released", digest=digest, reason="expired")
 
-    def _extend(
+    def _add_targets(
         self,
         digest: RequestDigest,
         suspect: _Suspect,
-        ended: set[TargetId],
+        crashed: set[TargetId],
         cleared: set[TargetId],
         source: str,
     ) -> None:
-        """Add targets to a suspect's sets; log what it becomes."""
-        before, was_held = suspect.count, suspect.is_held
-        new = (ended - suspect.ended) if len(suspect.ended) < _MOST_TARGETS else set()
-        newly_cleared = (cleared - suspect.cleared) & (suspect.ended | new)
-        if not new and not newly_cleared:
+        """Add targets to a suspect's sets and log its change of state."""
+        before, was_quarantined = suspect.crash_count, suspect.is_quarantined
+        new_crashed = (
+            (crashed - suspect.crashed)
+            if len(suspect.crashed) < _MAX_TARGETS_PER_SUSPECT
+            else set()
+        )
+        newly_cleared = (cleared - suspect.cleared) & (suspect.crashed | new_crashed)
+        if not new_crashed and not newly_cleared:
             return
-        suspect.ended |= new
+        suspect.crashed |= new_crashed
         suspect.cleared |= newly_cleared
-        suspect.told = 0
-        if suspect.is_held and not was_held:
+        suspect.times_sent = 0
+        if suspect.is_quarantined and not was_quarantined:
             _log("request_quarantined", digest, suspect, source)
-        elif was_held and not suspect.is_held:
+        elif was_quarantined and not suspect.is_quarantined:
             log_event("request_released", digest=digest, reason="answered", source=source)
-        elif suspect.count > before and not was_held:
+        elif suspect.crash_count > before and not was_quarantined:
             _log("request_suspected", digest, suspect, source)
 
 
 def _log(event: str, digest: RequestDigest, suspect: _Suspect, source: str) -> None:
-    targets = ",".join(sorted(suspect.ended - suspect.cleared))
+    targets = ",".join(sorted(suspect.crashed - suspect.cleared))
     log_event(event, level="WARNING", digest=digest, targets=targets, source=source)
 
 
 def _report(digest: RequestDigest, suspect: _Suspect, now: float) -> CrashReport:
     age_s = round(now - suspect.seen_at, 1)
-    return CrashReport(digest, sorted(suspect.ended), sorted(suspect.cleared), max(0.0, age_s))
+    return CrashReport(digest, sorted(suspect.crashed), sorted(suspect.cleared), max(0.0, age_s))
--- a/turmerictray/fairness/__init__.py
+++ b/turmerictray/fairness/__init__.py
@@ -1,1 +1,1 @@
-"""Per-team service accounting and the fair queue that orders a router's backlog."""
+"""Accounting of each team's usage, and the fair queue that orders a router's backlog."""
--- a/turmerictray/fairness/ledger.py
+++ b/turmerictray/fairness/ledger.py
@@ -1,13 +1,13 @@
-"""Service received per team, on this router and as reported by peers.
+"""Usage per team, on this router and as reported by peers.
 
-Service is counted in tokens. A request is charged its rough hint when it is dispatched and the
+Usage is counted in tokens. A request is charged its estimated cost when it is dispatched, and the
 charge is corrected to the true cost when it ends. Peers report their own *settled* cumulative
-counters per incarnation; counters only grow, so merging keeps the larger value and a summary
-delivered twice, or again after a partition heals, is never counted twice.
+counters per incarnation. Since counters only grow, merging takes the larger value, and a report
+that is delivered twice or again after a partition heals is not counted twice.
 
-What orders the fair queue is *normalised* service: tokens over weight, plus an offset that
-forgives what a team may not claim (see :meth:`ServiceLedger.join` and
-:meth:`ServiceLedger.forgive`).
+The fair queue is ordered by *normalised* usage: tokens over weight, plus an offset that cancels
+credit or debt to which a team is not entitled (see :meth:`UsageLedger.start_waiting` and
+:meth:`UsageLedger.limit_deficit`).
 """
 
 from collections import Counter, defaultdict
@@ -16,21 +16,21 @@
 
 from turmerictray.core.ids import NodeId, TeamId
 
-KEPT_LIVES = 3
-"""Incarnations of one node whose counters are kept apart: its present and two earlier ones."""
+MAX_INCARNATIONS_PER_NODE = 3
+"""Incarnations of one node with separate counters: the current one and two earlier ones."""
 
 
 class PeerCounters(msgspec.Struct, frozen=True):
-    """One router's settled cumulative service per team, in tokens.
+    """Settled cumulative usage per team on one router, in tokens.
 
     Attributes
     ----------
     node : str
-        The router that served.
+        Router that served the requests.
     incarnation : int
-        Start time of its process in nanoseconds; a restarted router counts afresh.
+        Start time of its process in nanoseconds; a restarted router counts from zero.
     counters : dict of str to float
-        Team to cumulative tokens, only for teams with service.
+        Cumulative tokens by team, only for teams with usage.
     """
 
     node: str
@@ -38,13 +38,13 @@
     counters: dict[str, float]
 
 
-class ServiceLedger:
-    """Per-team service, local and fleet-wide, normalised by weight.
+class UsageLedger:
+    """Usage per team, local and fleet-wide, normalised by weight.
 
     Parameters
     ----------
     node : NodeId
-        This router, whose own counters are kept apart from peers'.
+        This router, whose counters are separate from those of its peers.
     incarnation : int
         This router's start time in nanoseconds.
     """
@@ -57,138 +57,148 @@
         self.provisional: dict[TeamId, float] = defaultdict(float)
         self.remote: dict[tuple[str, int], dict[str, float]] = {}
         self.offset: dict[TeamId, float] = defaultdict(float)
-        self.waiting_elsewhere: set[TeamId] = set()
-        self._waiting: Counter[TeamId] = Counter()
+        self.waiting_on_peers: set[TeamId] = set()
+        self._waiting_queues: Counter[TeamId] = Counter()
         self._remote_sum: dict[str, float] = defaultdict(float)
-        self._retired: dict[str, int] = {}
+        self._last_retired: dict[str, int] = {}
 
     def weight(self, team: TeamId) -> float:
-        """The team's weight; 1.0 for a team the configuration does not list."""
+        """Return the team's weight; 1.0 if the configuration does not list the team."""
         return self.weights.get(team, 1.0)
 
-    def charge(self, team: TeamId, hint: float) -> None:
-        """Charge a dispatched request's hint, in tokens, until its true cost is known."""
-        self.provisional[team] += hint
+    def charge(self, team: TeamId, estimated_cost: float) -> None:
+        """Charge a dispatched request's estimated cost until its true cost is known."""
+        self.provisional[team] += estimated_cost
 
-    def settle(self, team: TeamId, hint: float, cost: float) -> None:
-        """Replace a request's provisional ``hint`` by its true ``cost``, in tokens."""
-        self.provisional[team] = max(0.0, self.provisional[team] - hint)
+    def settle(self, team: TeamId, estimated_cost: float, cost: float) -> None:
+        """Replace a request's ``estimated_cost`` by its true ``cost``, both in tokens."""
+        self.provisional[team] = max(0.0, self.provisional[team] - estimated_cost)
         self.settled[team] += cost
 
     def merge(self, report: PeerCounters) -> bool:
-        """Take a report, keeping the larger value of each counter (idempotent).
+        """Merge a report, taking the larger value of each counter (idempotent).
 
-        A report on an earlier life of this router counts like a peer's.
+        A report on an earlier incarnation of this router counts like a peer's.
 
         Returns
         -------
         bool
-            True when the report starts a life of its node that was not known before.
+            True if the report is the first one on this incarnation of its node.
         """
         key = (report.node, report.incarnation)
         if key == (self.node, self.incarnation):
             return False
-        if report.incarnation <= self._retired.get(report.node, 0):
+        if report.incarnation <= self._last_retired.get(report.node, 0):
             return False
-        fresh = key not in self.remote
+        is_first_report = key not in self.remote
         known = self.remote.setdefault(key, {})
         for team, value in report.counters.items():
             gain = value - known.get(team, 0.0)
             if gain > 0:
                 known[team] = value
                 self._remote_sum[team] += gain
-        if fresh:
-            self._retire_lives(report.node)
-        return fresh
+        if is_first_report:
+            self._retire_old_incarnations(report.node)
+        return is_first_report
 
-    def earlier_lives(self, node: NodeId) -> list[PeerCounters]:
-        """What is known of ``node``'s lives before its latest, for that node itself."""
-        lives = sorted(inc for name, inc in self.remote if name == node)
-        return [PeerCounters(node, inc, dict(self.remote[(node, inc)])) for inc in lives[:-1]]
+    def earlier_incarnations(self, node: NodeId) -> list[PeerCounters]:
+        """Return the counters of ``node``'s incarnations before its latest one.
+
+        They are sent to that node itself.
+        """
+        incarnations = sorted(incarnation for name, incarnation in self.remote if name == node)
+        return [
+            PeerCounters(node, incarnation, dict(self.remote[(node, incarnation)]))
+            for incarnation in incarnations[:-1]
+        ]
 
     def remote_total(self, team: TeamId) -> float:
-        """Tokens the team received through peers, over the lives that are kept."""
+        """Return the tokens that peers served to the team, over the remembered incarnations."""
         return self._remote_sum.get(team, 0.0)
 
     def total(self, team: TeamId) -> float:
-        """Fleet-wide tokens the team received as far as this router knows."""
+        """Return the tokens served to the team in the whole fleet, as far as known here."""
         return self.settled[team] + self.provisional[team] + self.remote_total(team)
 
     def normalised(self, team: TeamId) -> float:
-        """Service over weight plus the team's offset; lowest is served first."""
+        """Return usage over weight plus the team's offset; the lowest is served first."""
         return self.total(team) / self.weight(team) + self.offset[team]
 
-    def join(self, team: TeamId) -> None:
-        """Count one more service queue in which ``team`` has requests waiting.
+    def start_waiting(self, team: TeamId) -> None:
+        """Count one more queue in which ``team`` has waiting requests.
 
-        A team that waited nowhere in the fleet is put level with the least served of the teams
-        that do. Without it, a team idle for an hour would come back with an hour of credit and
-        hold the pool alone until it caught up. The level is added as an offset: raising the
-        team to a fixed floor instead would leave it at that floor, first in line, until its own
-        service had passed it.
+        A team that was waiting nowhere in the fleet is raised to the lowest normalised usage among
+        the waiting teams. Otherwise a team idle for an hour would return with an hour of credit and
+        use the pool alone until it had caught up. The level is reached by an offset: clamping the
+        team to a fixed floor would leave it at that floor, first in line, until its own usage had
+        passed it.
         """
-        self._waiting[team] += 1
-        if self._waiting[team] > 1 or team in self.waiting_elsewhere:
+        self._waiting_queues[team] += 1
+        if self._waiting_queues[team] > 1 or team in self.waiting_on_peers:
             return
-        others = [self.normalised(other) for other in self._waiting if other != team]
+        others = [self.normalised(other) for other in self._waiting_queues if other != team]
         if others:
             self._raise_to(team, min(others))
 
-    def leave(self, team: TeamId) -> None:
-        """Count one service queue less in which ``team`` has requests waiting."""
-        self._waiting[team] -= 1
-        if self._waiting[team] <= 0:
-            del self._waiting[team]
+    def stop_waiting(self, team: TeamId) -> None:
+        """Count one queue less in which ``team`` has waiting requests."""
+        self._waiting_queues[team] -= 1
+        if self._waiting_queues[team] <= 0:
+            del self._waiting_queues[team]
 
-    def forgive(self, limit: float) -> None:
-        """Let no waiting team be more than ``limit`` tokens per weight behind the most served.
+    def limit_deficit(self, limit: float) -> None:
+        """Limit how far a waiting team may be behind the one with the highest usage.
 
-        A peer heard again after a partition can report an hour of service to one team at once.
-        Paid back in full, that team would be starved here until every other had as much.
+        ``limit`` is in tokens per weight. A peer that reconnects after a partition can report an
+        hour of usage of one team at once. Compensated in full, that team would be starved here
+        until every other had received as much.
         """
-        if len(self._waiting) < 2:
+        if len(self._waiting_queues) < 2:
             return
-        level = max(self.normalised(team) for team in self._waiting) - limit
-        for team in self._waiting:
+        level = max(self.normalised(team) for team in self._waiting_queues) - limit
+        for team in self._waiting_queues:
             self._raise_to(team, level)
 
     def known_teams(self) -> set[str]:
-        """Teams with service counted here or reported by a peer."""
+        """Return the teams with usage counted here or reported by a peer."""
         return set(self.settled) | set(self.provisional) | set(self._remote_sum)
 
-    def own_report(self) -> PeerCounters:
-        """This router's settled cumulative counters, for its peers."""
+    def local_report(self) -> PeerCounters:
+        """Return this router's settled cumulative counters, for its peers."""
         counters = {team: value for team, value in self.settled.items() if value > 0}
         return PeerCounters(self.node, self.incarnation, counters)
 
     def charged(self) -> dict[TeamId, float]:
-        """This router's service per team, with the hints of requests still in progress.
+        """Return this router's usage per team, with the estimated cost of requests in progress.
 
-        Streams last for seconds; told of only when they end, a team's service would look smaller to
-        peers than it is, and they would go on to serve it first.
+        Streams last for seconds. If they were reported only when they end, peers would see a lower
+        usage than the true one and continue to serve the team first.
         """
         teams = set(self.settled) | set(self.provisional)
         return {team: self.settled[team] + self.provisional[team] for team in teams}
 
     def is_ahead(self, team: TeamId, slack: float) -> bool:
-        """Whether ``team`` has had ``slack`` tokens per weight more than a team that waits."""
-        waiting = (self._waiting.keys() | self.waiting_elsewhere) - {team}
+        """Return whether ``team`` is ahead of any waiting team by more than ``slack``.
+
+        ``slack`` is in tokens per weight.
+        """
+        waiting = (self._waiting_queues.keys() | self.waiting_on_peers) - {team}
         if not waiting:
             return False
-        least = min(self.normalised(other) for other in waiting)
-        return self.normalised(team) - least > slack
+        lowest = min(self.normalised(other) for other in waiting)
+        return self.normalised(team) - lowest > slack
 
     def _raise_to(self, team: TeamId, level: float) -> None:
         gap = level - self.normalised(team)
         if gap > 0:
             self.offset[team] += gap
 
-    def _retire_lives(self, node: str) -> None:
-        # One set of counters per restart, for ever, would grow without bound. The oldest life's
-        # service moves into the teams' offsets, and late beats of it are no longer taken.
-        lives = sorted(inc for name, inc in self.remote if name == node)
-        for inc in lives[:-KEPT_LIVES]:
-            self._retired[node] = inc
-            for team, value in self.remote.pop((node, inc)).items():
+    def _retire_old_incarnations(self, node: str) -> None:
+        # Keeping one set of counters per restart would use unbounded memory. The counters of the
+        # oldest incarnation move into the teams' offsets, and late heartbeats of it are ignored.
+        incarnations = sorted(incarnation for name, incarnation in self.remote if name == node)
+        for incarnation in incarnations[:-MAX_INCARNATIONS_PER_NODE]:
+            self._last_retired[node] = incarnation
+            for team, value in self.remote.pop((node, incarnation)).items():
                 self._remote_sum[team] -= value
                 self.offset[TeamId(team)] += value / self.weight(TeamId(team))
--- a/turmerictray/fairness/queue.py
+++ b/turmerictray/fairness/queue.py
@@ -1,4 +1,4 @@
-"""The fair queue: a router's backlog, ordered across teams by normalised service."""
+"""Fair queue: a router's backlog, ordered across teams by normalised usage."""
 
 from collections import deque
 from collections.abc import Iterator
@@ -11,39 +11,39 @@
 
 
 class TeamOrder(Protocol):
-    """Says which team is served first; told of teams that begin and cease to wait."""
+    """Order in which teams are served, notified when a team starts or stops waiting."""
 
     def normalised(self, team: TeamId) -> float:
-        """The team's place; lowest is served first."""
+        """Return the team's sort key; the lowest is served first."""
 
-    def join(self, team: TeamId) -> None:
-        """The team begins to wait in one more queue."""
+    def start_waiting(self, team: TeamId) -> None:
+        """Record that the team starts waiting in one more queue."""
 
-    def leave(self, team: TeamId) -> None:
-        """The team waits in one queue less."""
+    def stop_waiting(self, team: TeamId) -> None:
+        """Record that the team stops waiting in one queue."""
 
 
 @dataclass
-class Pending:
-    """A request waiting for a target slot.
+class PendingRequest:
+    """Request waiting for a target slot.
 
     Attributes
     ----------
     req_id : RequestId
     team : TeamId
-    hint : float
-        Rough cost estimate in tokens, charged at dispatch.
+    estimated_cost : float
+        Estimated cost in tokens, charged at dispatch.
     deadline : float
-        ``time.monotonic()`` after which the request is given up, in seconds.
+        ``time.monotonic()`` value after which the request times out, in seconds.
     reply : Any
-        Where the grant or refusal goes (a future owned by the caller's thread).
+        Receiver of the grant or refusal (a future owned by the caller's thread).
     context : Any
-        Whatever the dispatcher needs to place the request (service, prefix key...).
+        Data that the dispatcher needs to place the request (service, prefix key...).
     """
 
     req_id: RequestId
     team: TeamId
-    hint: float
+    estimated_cost: float
     deadline: float
     reply: Any = None
     context: Any = None
@@ -51,120 +51,120 @@
 
 
 class FairQueue:
-    """Per-team FIFO queues; :meth:`pop` serves the backlogged team least served so far.
+    """Per-team FIFO queues; :meth:`pop` serves the backlogged team with the lowest usage.
 
     Parameters
     ----------
     ledger : TeamOrder
-        Decides which team is least served.
+        Order in which teams are served.
     max_per_team : int
-        Requests one team may have waiting on this router.
+        Maximum number of waiting requests per team on this router.
     retry_after : float
-        Seconds given to callers refused because their team's queue is full.
+        Retry delay, in seconds, given to callers refused because their team's queue is full.
     """
 
     def __init__(self, ledger: TeamOrder, max_per_team: int, retry_after: float) -> None:
         self.ledger = ledger
         self.max_per_team = max_per_team
         self.retry_after = retry_after
-        self._queues: dict[TeamId, deque[Pending]] = {}
+        self._queues: dict[TeamId, deque[PendingRequest]] = {}
         self._seq = 0
 
     def __len__(self) -> int:
         return sum(len(q) for q in self._queues.values())
 
     def backlogged(self) -> list[TeamId]:
-        """Teams with at least one waiting request."""
+        """Return the teams with at least one waiting request."""
         return list(self._queues)
 
     def depth(self, team: TeamId) -> int:
-        """Requests of ``team`` waiting."""
+        """Return the number of waiting requests of ``team``."""
         return len(self._queues.get(team, ()))
 
-    def push(self, item: Pending, front: bool = False) -> None:
-        """Queue a request; ``front`` puts a retried request back at the head of its team.
+    def push(self, pending: PendingRequest, front: bool = False) -> None:
+        """Queue a request; ``front`` puts a retried request at the head of its team's queue.
 
         Raises
         ------
         QueueFull
-            When the team already has ``max_per_team`` requests waiting (never for ``front``).
+            If the team already has ``max_per_team`` waiting requests (never with ``front``).
         """
-        queue = self._queues.get(item.team)
+        queue = self._queues.get(pending.team)
         if queue is None:
-            self.ledger.join(item.team)
-            queue = self._queues[item.team] = deque()
+            self.ledger.start_waiting(pending.team)
+            queue = self._queues[pending.team] = deque()
         elif len(queue) >= self.max_per_team and not front:
             raise QueueFull("queue_full", self.retry_after)
         self._seq += 1
-        item.seq = self._seq
+        pending.seq = self._seq
         if front:
-            queue.appendleft(item)
+            queue.appendleft(pending)
         else:
-            queue.append(item)
+            queue.append(pending)
 
     def peek_team(self) -> TeamId | None:
-        """The team :meth:`pop` would serve next, or None when nothing waits."""
+        """Return the team that :meth:`pop` would serve next, or None when nothing waits."""
         if not self._queues:
             return None
-        return min(self._queues, key=self.order)
+        return min(self._queues, key=self.sort_key)
 
-    def peek_head(self, team: TeamId) -> Pending:
-        """The oldest waiting request of ``team``."""
+    def peek_head(self, team: TeamId) -> PendingRequest:
+        """Return the oldest waiting request of ``team``."""
         return self._queues[team][0]
 
-    def waiting(self, team: TeamId, most: int) -> list[Pending]:
-        """The first ``most`` waiting requests of ``team``, oldest first."""
-        return list(islice(self._queues.get(team, ()), most))
+    def waiting(self, team: TeamId, limit: int) -> list[PendingRequest]:
+        """Return the first ``limit`` waiting requests of ``team``, oldest first."""
+        return list(islice(self._queues.get(team, ()), limit))
 
-    def by_service(self) -> Iterator[TeamId]:
-        """Backlogged teams, least served first; the queue must not change meanwhile."""
+    def teams_by_usage(self) -> Iterator[TeamId]:
+        """Yield the backlogged teams, lowest usage first; the queue must not change meanwhile."""
         first = self.peek_team()
         if first is None:
             return
         yield first
         rest = [team for team in self._queues if team != first]
-        yield from sorted(rest, key=self.order)
+        yield from sorted(rest, key=self.sort_key)
 
-    def pop(self) -> Pending | None:
-        """Take the next request of the least served backlogged team, or None."""
+    def pop(self) -> PendingRequest | None:
+        """Remove and return the next request of the team with the lowest usage, or None."""
         team = self.peek_team()
         return None if team is None else self.pop_from(team)
 
-    def pop_from(self, team: TeamId) -> Pending:
-        """Take the oldest waiting request of ``team``, which must be backlogged."""
+    def pop_from(self, team: TeamId) -> PendingRequest:
+        """Remove and return the oldest waiting request of ``team``, which must be backlogged."""
         queue = self._queues[team]
-        item = queue.popleft()
+        pending = queue.popleft()
         if not queue:
-            self._drop(team)
-        return item
+            self._remove_team(team)
+        return pending
 
-    def discard(self, item: Pending) -> bool:
-        """Remove a waiting request whose caller is gone; false when it waits no more."""
-        queue = self._queues.get(item.team)
-        if queue is None or item not in queue:
+    def discard(self, pending: PendingRequest) -> bool:
+        """Remove a request whose caller is gone; return False if it no longer waits."""
+        queue = self._queues.get(pending.team)
+        if queue is None or pending not in queue:
             return False
-        queue.remove(item)
+        queue.remove(pending)
         if not queue:
-            self._drop(item.team)
+            self._remove_team(pending.team)
         return True
 
-    def expire(self, now: float) -> list[Pending]:
+    def expire(self, now: float) -> list[PendingRequest]:
         """Remove and return the requests whose deadline has passed."""
-        gone: list[Pending] = []
+        expired: list[PendingRequest] = []
         for team in list(self._queues):
             queue = self._queues[team]
-            keep = deque(item for item in queue if item.deadline > now)
-            gone.extend(item for item in queue if item.deadline <= now)
-            if keep:
-                self._queues[team] = keep
+            remaining = deque(pending for pending in queue if pending.deadline > now)
+            expired.extend(pending for pending in queue if pending.deadline <= now)
+            if remaining:
+                self._queues[team] = remaining
             else:
-                self._drop(team)
-        return gone
+                self._remove_team(team)
+        return expired
 
-    def order(self, team: TeamId) -> tuple[float, int]:
-        """The place of a backlogged team; lowest is served first."""
+    def sort_key(self, team: TeamId) -> tuple[float, int]:
+        """Return the sort key of a backlogged team; the lowest is served first."""
         return self.ledger.normalised(team), self._queues[team][0].seq
 
-    def _drop(self, team: TeamId) -> None:
+    def _remove_team(self, team: TeamId) -> None:
         del self._queues[team]
-        self.ledger.leave(team)
+        self.ledger.stop_waiting(team)
--- a/turmerictray/fairness/shares.py
+++ b/turmerictray/fairness/shares.py
@@ -1,11 +1,11 @@
-"""Splitting a service's targets between routers by the backlog they hold.
+"""Shares of a service's targets per router, in proportion to the routers' backlogs.
 
-A router alone cannot tell how much of a shared engine it should take: the router that asks
-first after a slot frees would take it, and a team that lands on few routers would starve
-fleet-wide. Each router therefore tells its peers, in its heartbeat, how many requests each
-backlogged team has waiting there. Team ``t`` of weight ``w`` with ``q_r`` requests waiting on
-router ``r`` and ``Q`` in the fleet gives router ``r`` the weight ``w * q_r / Q``; a router's
-share of the service's slots is its part of the fleet's backlogged weight.
+A router alone cannot determine its share of a shared engine: the router that asks first after a
+slot becomes free would take it, and a team whose requests arrive at few routers would starve
+fleet-wide. Each router therefore reports to its peers, in its heartbeat, how many requests of each
+backlogged team wait there. Team ``t`` of weight ``w`` with ``q_r`` requests waiting on router ``r``
+and ``Q`` in the fleet gives router ``r`` the weight ``w * q_r / Q``; a router's share of the
+service's slots is its fraction of the fleet's backlogged weight.
 """
 
 import time
@@ -15,15 +15,15 @@
 
 
 class ShareTable:
-    """Peers' backlog by team for one service, and the routers' resulting shares.
+    """Backlog of peers by team for one service, and the resulting shares of the routers.
 
     Parameters
     ----------
     node : NodeId
         This router.
     stale_s : float
-        Backlog figures of a peer silent this long are dropped, in seconds; a lost peer's
-        share then returns to the routers still heard.
+        Seconds after which the backlog of a peer that sends no reports is dropped, so that its
+        share returns to the remaining routers.
     """
 
     def __init__(self, node: NodeId, stale_s: float) -> None:
@@ -32,17 +32,17 @@
         self.peers: dict[str, tuple[dict[str, int], float]] = {}
 
     def update(self, peer: str, demand: dict[str, int], now: float | None = None) -> None:
-        """Take a peer's waiting requests per team."""
+        """Replace a peer's number of waiting requests per team."""
         if peer != self.node:
             self.peers[peer] = (dict(demand), time.monotonic() if now is None else now)
 
     def teams_waiting(self, now: float | None = None) -> set[TeamId]:
-        """Teams that have requests waiting on a peer heard within ``stale_s``."""
+        """Return the teams with requests waiting on a peer that reported within ``stale_s``."""
         now = time.monotonic() if now is None else now
         return {
             TeamId(team)
-            for demand, seen in self.peers.values()
-            if now - seen <= self.stale_s
+            for demand, received_at in self.peers.values()
+            if now - received_at <= self.stale_s
             for team, count in demand.items()
             if count > 0
         }
@@ -50,7 +50,7 @@
     def shares(
         self, local: dict[TeamId, int], weights: dict[TeamId, float], now: float | None = None
     ) -> dict[str, float]:
-        """Every backlogged router's share of the service, summing to 1.
+        """Return every backlogged router's share of the service, summing to 1.
 
         Parameters
         ----------
@@ -66,27 +66,29 @@
         """
         now = time.monotonic() if now is None else now
         self.peers = {
-            peer: (demand, seen)
-            for peer, (demand, seen) in self.peers.items()
-            if now - seen <= self.stale_s
+            peer: (demand, received_at)
+            for peer, (demand, received_at) in self.peers.items()
+            if now - received_at <= self.stale_s
         }
         demands = {self.node: local, **{peer: demand for peer, (demand, _) in self.peers.items()}}
-        fleet: dict[str, int] = defaultdict(int)
+        fleet_demand: dict[str, int] = defaultdict(int)
         for demand in demands.values():
             for team, count in demand.items():
-                fleet[team] += max(0, count)
-        held: dict[str, float] = defaultdict(float)
+                fleet_demand[team] += max(0, count)
+        router_weights: dict[str, float] = defaultdict(float)
         for router, demand in demands.items():
             for team, count in demand.items():
                 if count > 0:
-                    held[router] += weights.get(TeamId(team), 1.0) * count / fleet[team]
-        total = sum(held.values())
-        return {router: weight / total for router, weight in held.items()}
+                    router_weights[router] += (
+                        weights.get(TeamId(team), 1.0) * count / fleet_demand[team]
+                    )
+        total = sum(router_weights.values())
+        return {router: weight / total for router, weight in router_weights.items()}
 
     def share(
         self, local: dict[TeamId, int], weights: dict[TeamId, float], now: float | None = None
     ) -> float:
-        """This router's share, from 0 to 1.
+        """Return this router's share, from 0 to 1.
 
         Returns
         -------
--- a/turmerictray/loadtool/bench.py
+++ b/turmerictray/loadtool/bench.py
@@ -17,9 +17,9 @@
 import urllib3
 
 from turmerictray.core.ids import NodeId, TeamId
-from turmerictray.fairness.allot import SlotCount, allot
-from turmerictray.fairness.ledger import PeerCounters, ServiceLedger
+from turmerictray.fairness.ledger import PeerCounters, UsageLedger
 from turmerictray.fairness.shares import ShareTable
+from turmerictray.fairness.slot_allocation import SlotCount, allocate_slots
 from turmerictray.loadtool.client import call_stream
 from turmerictray.loadtool.fleet_spec import FleetSpec
 from turmerictray.loadtool.local import LocalFleet
@@ -80,7 +80,7 @@
     """Bytes a router's ledger and share table hold for ``teams`` teams heard from ``peers``."""
     tracemalloc.start()
     base = tracemalloc.get_traced_memory()[0]
-    ledger = ServiceLedger(NodeId("r0"))
+    ledger = UsageLedger(NodeId("r0"))
     shares = ShareTable(NodeId("r0"), 3.0)
     names = [f"team-{i:05d}" for i in range(teams)]
     for name in names:
@@ -99,7 +99,7 @@
     slots = [SlotCount(f"t{i:03d}", 64) for i in range(targets)]
     start = time.perf_counter()
     for _ in range(repeat):
-        allot("r001", shares, slots)
+        allocate_slots("r001", shares, slots)
     return (time.perf_counter() - start) / repeat * 1000
 
 
--- a/turmerictray/membership/__init__.py
+++ b/turmerictray/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who the routers are and what they tell each other."""
+"""Membership of the router fleet, kept up to date by gossip."""
--- a/turmerictray/membership/gossip.py
+++ b/turmerictray/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Whom a router sends to in a period, and which other routers it tells them of."""
+"""Selection of the recipients and contents of a router's gossip messages in each period."""
 
 import random
 from dataclasses import dataclass, field
@@ -7,52 +7,60 @@
 from turmerictray.membership.table import MemberTable
 
 FANOUT = 8
-"""Routers that one sends to in a period; the bytes of a router don't grow with the fleet."""
+"""Number of recipients per period. A fixed number keeps a router's traffic independent of the size
+of the fleet."""
 
 _LARGE_FANOUT = 5
-"""The same in a fleet that is larger than the fanout. Requests are placed by the scheduler there,
-which knows the engines' work without these messages; they carry who is alive and how far each has
-read the store."""
+"""Number of recipients per period in a fleet that is larger than :data:`FANOUT`. There a scheduler
+places the requests and knows the engines' load without gossip; the messages only distribute which
+routers are alive and how far each has read the store."""
 
-_KNOWN_ENTRIES = 6
-_KNOWN_ENTRIES_LARGE = 1
-_KNOWN_EVERY = 4
-"""Every so many messages carry entries of other routers, at about 90 bytes each, while all peers
-are heard directly and the entries only serve routers that join."""
+_SAMPLE_SIZE = 6
+"""Entries of other routers, at about 90 bytes each, in one message of a small fleet."""
 
-_PULSES = 30
-"""Signs of life in a message of a large fleet, at about 30 bytes each: enough that no router of a
-few hundred is taken for dead while it lives."""
+_SAMPLE_SIZE_LARGE = 1
+"""Entries of other routers in one message of a large fleet."""
 
-_MOST_WHOLE = 16
-"""Routers that are sent the whole table in a period; more wait for the next one."""
+_ROUNDS_PER_SAMPLE = 4
+"""In a small fleet, one message in this many carries entries of other routers. All peers exchange
+messages directly there, so only routers that join need the entries."""
 
-_WHOLE_TABLE = 600
+_MAX_PULSES = 30
+"""Heartbeats per message in a large fleet, at about 30 bytes each. With this many, no live router
+of a few hundred is considered down."""
+
+_MAX_FULL_TABLE_RECIPIENTS = 16
+"""Maximum number of routers that receive the full table in a period; the rest wait for the next."""
+
+_MAX_FULL_TABLE_ENTRIES = 600
+"""Maximum number of entries in a message that carries the full table."""
 
 
 @dataclass(frozen=True)
 class Batch:
-    """The same message for several routers.
+    """Contents of one message and the routers that receive it.
 
     Attributes
     ----------
-    contacts : list of MemberEntry
-    known : list of MemberEntry
-        What they are told of other routers.
+    recipients : list of MemberEntry
+    members : list of MemberEntry
+        Entries of other routers.
     pulses : list of Pulse
+        Heartbeats of other routers.
     """
 
-    contacts: list[MemberEntry]
-    known: list[MemberEntry]
+    recipients: list[MemberEntry]
+    members: list[MemberEntry]
     pulses: list[Pulse] = field(default_factory=list)
 
 
 class Gossip:
-    """Spreads news of routers that start or leave at once, and word of all others by and by.
+    """Distributes starts and shutdowns of routers at once, and other entries gradually.
 
-    Routers that start together know only a few seeds. A router that knows few others is sent the
-    whole table by the first that hears of it, and news is passed on to peers in several periods
-    (Demers et al., 1987), so that all of a fleet of any size know each other within a few periods.
+    Routers that start together know only a few seeds. A router that knows few others receives the
+    full table from the first router that learns of it, and each update is forwarded in several
+    periods (Demers et al., 1987). In a fleet of any size, all routers therefore know each other
+    within a few periods.
 
     Parameters
     ----------
@@ -66,45 +74,50 @@
         self._periods = 0
         self._rounds = 0
 
-    def is_due(self, size: int, has_news: bool = False) -> bool:
+    def is_due(self, size: int, has_updates: bool = False) -> bool:
         """Whether to send in this period.
 
-        In a fleet that is larger than the fanout, routers hear of each other by the entries in
-        every message; the messages are longer and come half as often, for the same bytes, unless
-        there is news.
+        In a fleet that is larger than the fanout, routers learn of each other from the entries in
+        every message. Messages are longer there and are sent in every second period, for the same
+        traffic, unless there are updates to send.
 
         Parameters
         ----------
-        has_news : bool
-            There is news beside that of the table.
+        has_updates : bool
+            Whether there are updates to send besides those of the member table.
         """
         self._periods += 1
-        has_news = has_news or self._table.has_news()
-        return has_news or not _is_large(size) or self._periods % 2 == 0
+        has_updates = has_updates or self._table.has_unsent_updates()
+        return has_updates or not _is_large(size) or self._periods % 2 == 0
 
     def batches(self, size: int, now: float) -> list[Batch]:
-        """The messages of this period: for routers that know few others, and for some peers."""
-        knowing_few = self._table.take_knowing_few(_MOST_WHOLE)
+        """Return this period's messages: for some peers, and for routers that know few others."""
+        full_table_recipients = self._table.take_full_table_recipients(_MAX_FULL_TABLE_RECIPIENTS)
         fanout = _LARGE_FANOUT if _is_large(size) else FANOUT
-        contacts = self._table.contacts(now, fanout, self._rng)
-        helped = {entry.node for entry in knowing_few}
-        contacts = [entry for entry in contacts if entry.node not in helped]
-        known = self._table.take_news() + self._some(size, now)
-        pulses = self._table.pulses(now, _PULSES, self._rng) if _is_large(size) else []
-        batches = [Batch(contacts, known, pulses)]
-        if knowing_few:
-            batches.append(Batch(knowing_few, self._table.sample(now, _WHOLE_TABLE, self._rng)))
+        recipients = self._table.select_recipients(now, fanout, self._rng)
+        full_table_nodes = {entry.node for entry in full_table_recipients}
+        recipients = [entry for entry in recipients if entry.node not in full_table_nodes]
+        members = self._table.take_updates() + self._sample_members(size, now)
+        pulses = self._table.pulses(now, _MAX_PULSES, self._rng) if _is_large(size) else []
+        batches = [Batch(recipients, members, pulses)]
+        if full_table_recipients:
+            batches.append(
+                Batch(
+                    full_table_recipients,
+                    self._table.sample(now, _MAX_FULL_TABLE_ENTRIES, self._rng),
+                )
+            )
         return batches
 
-    def _some(self, size: int, now: float) -> list[MemberEntry]:
+    def _sample_members(self, size: int, now: float) -> list[MemberEntry]:
         self._rounds += 1
         if _is_large(size):
-            return self._table.sample(now, _KNOWN_ENTRIES_LARGE, self._rng)
-        if self._rounds % _KNOWN_EVERY == 0:
-            return self._table.sample(now, _KNOWN_ENTRIES, self._rng)
+            return self._table.sample(now, _SAMPLE_SIZE_LARGE, self._rng)
+        if self._rounds % _ROUNDS_PER_SAMPLE == 0:
+            return self._table.sample(now, _SAMPLE_SIZE, self._rng)
         return []
 
 
 def _is_large(size: int) -> bool:
-    """Whether a fleet of this size is larger than what one sends to in a period."""
+    """Whether a fleet of this size has more routers than one sends to in a period."""
     return size > FANOUT + 1
--- a/turmerictray/membership/link.py
+++ b/turmerictray/membership/link.py
@@ -1,8 +1,8 @@
-"""The peer link: an actor that owns the sockets to the other routers.
+"""The peer link: an actor that owns the gossip sockets to the other routers.
 
-Each router pulls on one address and pushes to a few others a period, so the traffic of a router is
-bounded whatever the size of the fleet; entries of other routers travel with the messages, and so
-every router hears of every other (see :mod:`turmerictray.membership.gossip`).
+Each router has one pull socket and sends to a few others per period, so its traffic is bounded
+whatever the size of the fleet. Messages include entries of other routers, so that every router
+learns of every other (see :mod:`turmerictray.membership.gossip`).
 """
 
 import random
@@ -32,19 +32,20 @@
 from turmerictray.membership.table import MemberTable
 
 PERIOD_S = 0.25
-"""Time between messages. What peers have sent to an engine is known this late; in that time all of
-them may take the same engine for free, so it is kept well under an engine's reading window."""
+"""Gossip period. Peers' load on an engine is known with this delay, during which all of them may
+consider the same engine idle. The period is therefore kept well below an engine's prefill window,
+the time for which it has prompts to process."""
 
 _RECV_BUFFER = 128
-"""Messages that wait to be handled."""
+"""Maximum number of received messages that are not handled yet."""
 
-_REDIAL_S = 2.0
-"""A peer silent this long is dialled anew: a connection that a cut left half open swallows messages
-without an error, and new ones work."""
+_RECONNECT_AFTER_S = 2.0
+"""Seconds without a message from a peer after which a new connection to it is opened. A connection
+that a network partition left half open loses messages without an error."""
 
 
 class _Received:
-    """Bytes that came in over the peer link."""
+    """An encoded :class:`PeerMessage` received over the peer link."""
 
     def __init__(self, data: bytes) -> None:
         self.data = data
@@ -52,26 +53,29 @@
 
 @dataclass(frozen=True)
 class Reseed:
-    """The settings name other seeds."""
+    """Replaces the seeds after a change of the settings."""
 
     seeds: list[str]
 
 
 class Leave:
-    """This router is shutting down; its peers are to be told now."""
+    """Announces this router's shutdown to its peers at once."""
 
 
-class _Outlet:
-    """The push socket to one peer."""
+class _PeerSocket:
+    """Push socket to one peer."""
 
     def __init__(self, address: str) -> None:
         self.address = address
-        self.dialled_at = time.monotonic()
+        self.connected_at = time.monotonic()
         self._sock = pynng.Push0(send_buffer_size=2)
         self._sock.dial(address, block=False)
 
     def send(self, data: bytes) -> bool:
-        """Send if the peer takes it at once; a summary that waited would be out of date."""
+        """Send without blocking; return whether the message was sent.
+
+        Messages are not queued, since a delayed summary would be out of date.
+        """
         try:
             self._sock.send(data, block=False)
         except pynng.TryAgain:
@@ -84,17 +88,17 @@
 
 
 class CrashReports(Protocol):
-    """Where reports of crashes come from."""
+    """Source of the crash reports in gossip messages."""
 
-    def has_news(self) -> bool:
-        """Whether there is something that peers should hear soon."""
+    def has_pending_updates(self) -> bool:
+        """Whether there are reports to send in this period."""
 
     def take_reports(self, now: float) -> list[CrashReport]:
-        """What the next message is to tell."""
+        """Return the reports for the next message."""
 
 
 class PeerLink(VitalActor):
-    """Sends this router's summary to its peers and hands on theirs.
+    """Sends this router's summary to its peers and passes on the messages that it receives.
 
     Parameters
     ----------
@@ -102,23 +106,24 @@
     zone : ZoneId
     incarnation : int
     address : str
-        ``tcp://host:port`` to pull on.
+        ``tcp://host:port`` to listen on.
     admin : str
-        ``host:port`` where peers may fetch the published texts.
+        ``host:port`` at which peers can fetch the published texts.
     seeds : list of str
-        Peer-link addresses of routers to start with; may be stale.
-    own_summary : callable
-        Returns this router's :class:`RouterSummary`, or None when it can't be had in time.
+        Peer-link addresses of the routers to contact first; may be out of date.
+    build_summary : callable
+        Returns this router's :class:`RouterSummary`, or None if it is not available in time.
     on_peer : callable
-        Called with each :class:`PeerMessage`.
+        Called with each :class:`PeerMessage` that is received.
     on_members : callable
-        Called with the entries of the live routers, this one's own included, now and then.
-    calls : str
+        Called each period, and when their number changes, with the entries of the live routers.
+        They include this router unless it is leaving.
+    scheduling_address : str
         ``tcp://host:port`` at which this router schedules requests of others.
     cores : float
-        What this router's processor can do, in cores.
+        Processor capacity of this router in cores.
     crashes : CrashReports or None
-        Reports that travel with the messages.
+        Source of the crash reports to send.
     """
 
     def __init__(
@@ -129,25 +134,27 @@
         address: str,
         admin: str,
         seeds: list[str],
-        own_summary: Callable[[], RouterSummary | None],
+        build_summary: Callable[[], RouterSummary | None],
         on_peer: Callable[[PeerMessage], None],
         on_members: Callable[[tuple[MemberEntry, ...]], None],
-        calls: str = "",
+        scheduling_address: str = "",
         cores: float = 1.0,
         crashes: CrashReports | None = None,
     ) -> None:
         super().__init__()
-        self.entry = MemberEntry(node, zone, address, incarnation, 0, False, calls, cores)
+        self.entry = MemberEntry(
+            node, zone, address, incarnation, 0, False, scheduling_address, cores
+        )
         self.admin = admin
         self.seeds = seeds
         self.table = MemberTable(node)
-        self._own_summary = own_summary
+        self._build_summary = build_summary
         self._on_peer = on_peer
         self._on_members = on_members
         self._crashes = crashes
         self._size = 1
         self._leaving = False
-        self._outlets: dict[str, _Outlet] = {}
+        self._sockets: dict[str, _PeerSocket] = {}
         self._rng = random.Random()
         self._gossip = Gossip(self.table, self._rng)
         self._receiver: Receiver | None = None
@@ -161,8 +168,8 @@
             raise PeerError(f"cannot listen on {self.entry.address}: {exc}") from exc
 
     def on_stop(self) -> None:
-        for outlet in self._outlets.values():
-            outlet.close()
+        for peer_socket in self._sockets.values():
+            peer_socket.close()
         if self._receiver is not None:
             self._receiver.close()
 
@@ -176,31 +183,31 @@
         if msg.is_late():
             return
         now = time.monotonic()
-        has_news = self._crashes is not None and self._crashes.has_news()
-        if self._gossip.is_due(self._size, has_news):
+        has_reports = self._crashes is not None and self._crashes.has_pending_updates()
+        if self._gossip.is_due(self._size, has_reports):
             self._send_all(now)
-        self._note_size(now)
-        self._tell_members(now)
+        self._update_size(now)
+        self._publish_members(now)
 
     @on_receive.register
     def _(self, msg: _Received) -> None:
         try:
-            heard = msgspec.msgpack.decode(msg.data, type=PeerMessage)
+            message = msgspec.msgpack.decode(msg.data, type=PeerMessage)
         except msgspec.DecodeError as exc:
             log_event("peer_message_refused", level="WARNING", reason=str(exc))
             return
         now = time.monotonic()
-        if self.table.learn(heard.sender, now, direct=True):
-            sender = heard.sender
+        if self.table.update(message.sender, now, direct=True):
+            sender = message.sender
             log_event("peer_heard", peer=sender.node, zone=sender.zone, life=sender.incarnation)
-        for entry in heard.known:
-            self.table.learn(entry, now, direct=False)
-        for pulse in heard.pulses:
-            self.table.learn_pulse(pulse, now)
-        if heard.sender.node != self.entry.node:
-            self.table.note_knows(heard.sender.node, heard.knows, now)
-            self._on_peer(heard)
-        self._note_size(now)
+        for entry in message.members:
+            self.table.update(entry, now, direct=False)
+        for pulse in message.pulses:
+            self.table.update_heartbeat(pulse, now)
+        if message.sender.node != self.entry.node:
+            self.table.note_member_count(message.sender.node, message.member_count, now)
+            self._on_peer(message)
+        self._update_size(now)
 
     @on_receive.register
     def _(self, msg: Reseed) -> None:
@@ -212,75 +219,79 @@
         self._send_all(time.monotonic())
 
     def _send_all(self, now: float) -> None:
-        summary = self._own_summary()
+        summary = self._build_summary()
         if summary is None:
-            # Nothing is sent rather than a message without work: peers would take the targets
-            # that this router uses for free.
+            # A message without load figures would make peers consider this router's targets idle.
             return
-        beat = self.entry.beat + 1
-        self.entry = msgspec.structs.replace(self.entry, beat=beat, leaving=self._leaving)
+        heartbeat = self.entry.heartbeat + 1
+        self.entry = msgspec.structs.replace(self.entry, heartbeat=heartbeat, leaving=self._leaving)
         batches = self._gossip.batches(self._size, now)
         crashes = [] if self._crashes is None else self._crashes.take_reports(now)
-        used = set()
+        used_addresses = set()
         for batch in batches:
-            used |= self._send(batch, summary, crashes, now)
-        seeds = self._seeds_to_try(now, used)
+            used_addresses |= self._send(batch, summary, crashes, now)
+        seeds = self._seeds_to_try(now, used_addresses)
         if seeds:
-            used |= self._send(Batch(seeds, batches[0].known), summary, crashes, now)
-        self._close_unused(used)
+            used_addresses |= self._send(Batch(seeds, batches[0].members), summary, crashes, now)
+        self._close_unused(used_addresses)
 
     def _send(
         self, batch: Batch, summary: RouterSummary, crashes: list[CrashReport], now: float
     ) -> set[str]:
-        """Send a message to a batch's routers; returns their addresses."""
+        """Send a batch to its recipients; return their addresses."""
         message = PeerMessage(
-            self.entry, summary, batch.known, self.admin, self._size, batch.pulses, crashes
+            self.entry, summary, batch.members, self.admin, self._size, batch.pulses, crashes
         )
         data = msgspec.msgpack.encode(message)
-        for contact in batch.contacts:
-            if self._outlet(contact.address, contact.node, now).send(data):
+        for recipient in batch.recipients:
+            if self._socket_to(recipient.address, recipient.node, now).send(data):
                 metrics.count_control("peers", len(data), 0)
-        return {contact.address for contact in batch.contacts}
-
-    def _seeds_to_try(self, now: float, used: set[str]) -> list[MemberEntry]:
-        # While few peers are known the seeds are the way in; later they only matter after a long
-        # cut, and one at a time is enough. A seed that is known to live is reached like any other.
-        known = {entry.address for entry in self.table.alive(now)} | used | {self.entry.address}
+        return {recipient.address for recipient in batch.recipients}
+
+    def _seeds_to_try(self, now: float, used_addresses: set[str]) -> list[MemberEntry]:
+        # A router that knows few peers joins through the seeds, so all of them are tried. Later
+        # they only matter after a long partition, and one per period is enough. Seeds known to be
+        # alive are selected like any other router.
+        known = (
+            {entry.address for entry in self.table.alive(now)}
+            | used_addresses
+            | {self.entry.address}
+        )
         unknown = [MemberEntry("", "", seed, 0, 0) for seed in self.seeds if seed not in known]
-        return unknown if len(used) < 2 or not unknown else [self._rng.choice(unknown)]
-
-    def _outlet(self, address: str, node: str, now: float) -> _Outlet:
-        outlet = self._outlets.get(address)
-        if outlet is not None and self._is_stale(outlet, node, now):
-            outlet.close()
-            outlet = None
-        if outlet is None:
-            outlet = self._outlets[address] = _Outlet(address)
-        return outlet
-
-    def _is_stale(self, outlet: _Outlet, node: str, now: float) -> bool:
-        silent = not node or self.table.unheard_s(node, now) > _REDIAL_S
-        return silent and now - outlet.dialled_at > _REDIAL_S
-
-    def _close_unused(self, used: set[str]) -> None:
-        for address in set(self._outlets) - used:
-            if len(self._outlets) > 2 * FANOUT:
-                self._outlets.pop(address).close()
-
-    def _note_size(self, now: float) -> None:
+        return unknown if len(used_addresses) < 2 or not unknown else [self._rng.choice(unknown)]
+
+    def _socket_to(self, address: str, node: str, now: float) -> _PeerSocket:
+        peer_socket = self._sockets.get(address)
+        if peer_socket is not None and self._is_stale(peer_socket, node, now):
+            peer_socket.close()
+            peer_socket = None
+        if peer_socket is None:
+            peer_socket = self._sockets[address] = _PeerSocket(address)
+        return peer_socket
+
+    def _is_stale(self, peer_socket: _PeerSocket, node: str, now: float) -> bool:
+        is_silent = not node or self.table.silence_s(node, now) > _RECONNECT_AFTER_S
+        return is_silent and now - peer_socket.connected_at > _RECONNECT_AFTER_S
+
+    def _close_unused(self, used_addresses: set[str]) -> None:
+        for address in set(self._sockets) - used_addresses:
+            if len(self._sockets) > 2 * FANOUT:
+                self._sockets.pop(address).close()
+
+    def _update_size(self, now: float) -> None:
         size = self.table.size(now)
         if size != self._size:
             log_event("fleet_size", routers=size, before=self._size)
             self._size = size
-            self._tell_members(now)
+            self._publish_members(now)
 
-    def _tell_members(self, now: float) -> None:
-        own = () if self._leaving else (self.entry,)
-        self._on_members((*own, *self.table.alive(now)))
+    def _publish_members(self, now: float) -> None:
+        local = () if self._leaving else (self.entry,)
+        self._on_members((*local, *self.table.alive(now)))
 
     def _receive(self, pull: pynng.Pull0) -> None:
-        receive_all(pull, "peers", "peer_receive_failed", self._hand_on)
+        receive_all(pull, "peers", "peer_receive_failed", self._enqueue_received)
 
-    def _hand_on(self, data: bytes) -> None:
+    def _enqueue_received(self, data: bytes) -> None:
         if self.actor_ref.is_alive():
             self.actor_ref.tell(_Received(data))
--- a/turmerictray/membership/messages.py
+++ b/turmerictray/membership/messages.py
@@ -1,10 +1,10 @@
-"""What routers tell each other, as sent over the peer link."""
+"""Wire messages of the peer link, by which routers gossip."""
 
 import msgspec
 
 
 class MemberEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One router as another one knows it.
+    """State of one router as it announced it.
 
     Attributes
     ----------
@@ -12,37 +12,37 @@
     address : str
         ``tcp://host:port`` of its peer link.
     incarnation : int
-        Start time of its process, in nanoseconds; a restart has a higher one.
-    beat : int
-        Grows by one with each message it sends.
+        Start time of its process, in nanoseconds; it is higher after each restart.
+    heartbeat : int
+        Heartbeat counter, incremented with each message that the router sends.
     leaving : bool
-        It is shutting down.
-    calls : str
+        Whether the router is shutting down.
+    scheduling_address : str
         ``tcp://host:port`` at which it schedules requests of other routers.
     cores : float
-        What its processor can do, in cores.
+        Processor capacity in cores.
     """
 
     node: str
     zone: str
     address: str
     incarnation: int
-    beat: int
+    heartbeat: int
     leaving: bool = False
-    calls: str = ""
+    scheduling_address: str = ""
     cores: float = 1.0
 
 
 class Pulse(msgspec.Struct, frozen=True, array_like=True):
-    """A sign of life of a router that the receiver knows already; see :class:`MemberEntry`."""
+    """Heartbeat of a router whose :class:`MemberEntry` the receiver already has."""
 
     node: str
     incarnation: int
-    beat: int
+    heartbeat: int
 
 
 class TargetWork(msgspec.Struct, frozen=True, array_like=True):
-    """A router's own work on one target: requests running, and tokens still to be read."""
+    """Load of one router on one target: running requests and tokens still to be processed."""
 
     target: str
     running: int
@@ -50,7 +50,7 @@
 
 
 class PartRead(msgspec.Struct, frozen=True, array_like=True):
-    """A shared part of a prompt that a router has sent to a target, ``tokens`` long."""
+    """Shared prompt part of ``tokens`` tokens that a router has sent to a target."""
 
     target: str
     part: str
@@ -58,7 +58,7 @@
 
 
 class RouterSummary(msgspec.Struct, frozen=True, array_like=True):
-    """A router's own state, for its peers.
+    """State of a router as it reports it to its peers.
 
     Attributes
     ----------
@@ -66,28 +66,28 @@
     incarnation : int
     text_version : int
         Version of the routing text in force; 0 for none.
-    work : list of TargetWork
-        Only targets with work.
+    target_work : list of TargetWork
+        The router's load on each target that has any.
     service : dict of str to float
         Tokens served per team since the process started.
     waiting : list of str
-        Teams that wait for room.
+        Teams with pending requests.
     reads : list of PartRead
-        Since the last message.
+        Prompt parts sent to targets since the last message.
     targets_revision : int
-        Revision of the newest change of a target's entry that it knows; 0 for none.
+        Revision of the newest change of a target's entry that the router has received; 0 for none.
     store_age_s : float
-        Age of what it knows of the platform's store, however it learnt it.
+        Age of the router's copy of the platform's store, whether read directly or from a peer.
     targets_era : int
         Era of ``targets_revision``; see :class:`turmerictray.router.published.StorePosition`.
     caught_up : bool
-        False from its start until it knows as much as its peers.
+        False from the router's start until it has the same state as its peers.
     """
 
     node: str
     incarnation: int
     text_version: int
-    work: list[TargetWork]
+    target_work: list[TargetWork]
     service: dict[str, float]
     waiting: list[str]
     reads: list[PartRead] = []
@@ -98,18 +98,18 @@
 
 
 class CrashReport(msgspec.Struct, frozen=True, array_like=True):
-    """Targets that ended while they began to run a request.
+    """Targets that terminated while they started to run a request.
 
     Attributes
     ----------
     digest : str
         See :mod:`turmerictray.admission.digest`.
     ended : list of str
-        All that ended under it.
+        All targets that terminated while running the request.
     cleared : list of str
-        Those of them that ended before the request had an answer elsewhere.
+        Those of them that terminated before another target answered the request.
     age_s : float
-        Time since the last sign of the request, in seconds.
+        Seconds since the request was last seen.
     """
 
     digest: str
@@ -119,27 +119,27 @@
 
 
 class PeerMessage(msgspec.Struct, frozen=True, array_like=True):
-    """One message of the peer link.
+    """Gossip message from one router to another.
 
     Attributes
     ----------
     sender : MemberEntry
     summary : RouterSummary
-    known : list of MemberEntry
-        A few other routers that the sender has heard of.
+    members : list of MemberEntry
+        A few other routers from the sender's member table.
     admin : str
-        ``host:port`` where the sender hands out the published texts it holds.
-    knows : int
-        How many routers the sender believes alive, itself included.
+        ``host:port`` at which the sender serves its copies of the published texts.
+    member_count : int
+        Number of routers that the sender believes alive, including itself.
     pulses : list of Pulse
-        Signs of life of some of them.
+        Heartbeats of some of them.
     crashes : list of CrashReport
     """
 
     sender: MemberEntry
     summary: RouterSummary
-    known: list[MemberEntry]
+    members: list[MemberEntry]
     admin: str
-    knows: int = 0
+    member_count: int = 0
     pulses: list[Pulse] = []
     crashes: list[CrashReport] = []
--- a/turmerictray/membership/table.py
+++ b/turmerictray/membership/table.py
@@ -1,4 +1,4 @@
-"""Which routers exist and which of them are believed alive."""
+"""Table of the routers of the fleet, and of those that are believed alive."""
 
 import math
 import random
@@ -10,171 +10,203 @@
 from turmerictray.membership.messages import MemberEntry, Pulse
 
 ALIVE_S = 3.0
-"""A router that nobody has heard of for this long counts as down: six messages lost in a row."""
+"""Seconds without a new heartbeat after which a router is considered down. This allows for six
+consecutive lost messages."""
 
-_ALIVE_PER_ROUTER_S = 0.05
-"""News of a router comes by a detour in a large fleet, where each message brings some signs of
-life, half of them older than what is known. With some 250 a second, twelve are expected in this
-time."""
+_ALIVE_EXTRA_PER_ROUTER_S = 0.05
+"""Addition to :data:`ALIVE_S` for each router in the table. In a large fleet, heartbeats arrive
+through other routers, and half of them are older than what is known. At about 250 heartbeats/s,
+twelve of each router are expected in this time."""
 
-_PASSED_ON = 4
-"""Rounds of messages in which a router tells of another one that has started or is leaving. With
-five peers a round, news reaches 300 routers in four rounds and each hears it some twenty times."""
+_UPDATE_ROUNDS = 4
+"""Rounds in which a router forwards the start or shutdown of another one. With five recipients per
+round, an update reaches 300 routers in four rounds, and each receives it about twenty times."""
 
-_MOST_NEWS = 128
-"""News in one message, about 10 KB."""
+_MAX_UPDATES = 128
+"""Maximum number of updates in one message, about 10 KB."""
 
-_HELP_EVERY_S = 1.0
-"""Time after which a router that still knows few others is sent the whole table again."""
+_FULL_TABLE_INTERVAL_S = 1.0
+"""Minimum interval between two transfers of the full table to the same router."""
 
-_FORGOTTEN_S = 60.0
-"""A router that is down is still tried for this long, so that two sides of a cut find each other
-again; longer ones come back by the seeds."""
+_FORGET_AFTER_S = 60.0
+"""Seconds for which messages are still sent to a router that is down, so that the sides of a
+network partition reconnect. After longer partitions they reconnect through the seeds."""
 
 
 @dataclass
-class _Known:
+class _Member:
+    """Newest entry of a router.
+
+    Attributes
+    ----------
+    entry : MemberEntry
+    updated_at : float
+        Monotonic time of its last new heartbeat, in seconds.
+    received_at : float
+        Monotonic time of the last message from the router itself, in seconds; 0 for none.
+    """
+
     entry: MemberEntry
-    news_at: float
-    heard_at: float
+    updated_at: float
+    received_at: float
 
 
 class MemberTable:
-    """Members by name, with the newest entry of each.
+    """Newest known entry of each router, by name.
 
-    An entry is newer by its incarnation, then by its beat, so what comes late or by a detour never
-    brings a stopped router back to life.
+    Entries are ordered by incarnation, then by heartbeat counter, so an entry that arrives late or
+    through another router never makes a stopped router count as alive again.
 
     Parameters
     ----------
     node : NodeId
-        This router, which is not a member of its own table.
+        The local router, which is not in the table.
     """
 
     def __init__(self, node: NodeId) -> None:
         self.node = node
-        self._known: dict[str, _Known] = {}
-        self._newcomers: list[str] = []
-        self._knowing_few: list[str] = []
-        self._helped_at: dict[str, float] = {}
-        self._news: dict[str, int] = {}
+        self._members: dict[str, _Member] = {}
+        self._new_nodes: list[str] = []
+        self._full_table_nodes: list[str] = []
+        self._full_table_sent_at: dict[str, float] = {}
+        self._updates: dict[str, int] = {}
 
-    def learn(self, entry: MemberEntry, now: float, direct: bool) -> bool:
-        """Take an entry; true when it tells of a router, or of a start, not known before.
+    def update(self, entry: MemberEntry, now: float, direct: bool) -> bool:
+        """Merge a received entry into the table.
 
         Parameters
         ----------
+        entry : MemberEntry
+        now : float
+            Monotonic time in seconds.
         direct : bool
-            It comes from the router itself.
+            Whether the entry was received from the router that it describes.
+
+        Returns
+        -------
+        bool
+            Whether the entry is of a new router, or of a new incarnation of a known one.
         """
         if entry.node == self.node:
             return False
-        known = self._known.get(entry.node)
-        if direct and (known is None or not known.heard_at):
-            self._newcomers.append(entry.node)
-        if known is None:
-            heard_at = now if direct else 0.0
-            self._known[entry.node] = _Known(entry, now, heard_at)
-            self._news[entry.node] = _PASSED_ON
+        member = self._members.get(entry.node)
+        if direct and (member is None or not member.received_at):
+            self._new_nodes.append(entry.node)
+        if member is None:
+            received_at = now if direct else 0.0
+            self._members[entry.node] = _Member(entry, now, received_at)
+            self._updates[entry.node] = _UPDATE_ROUNDS
             return True
         if direct:
-            known.heard_at = now
-        if (entry.incarnation, entry.beat) <= (known.entry.incarnation, known.entry.beat):
+            member.received_at = now
+        if (entry.incarnation, entry.heartbeat) <= (
+            member.entry.incarnation,
+            member.entry.heartbeat,
+        ):
             return False
-        fresh = entry.incarnation > known.entry.incarnation
-        if fresh or entry.leaving != known.entry.leaving:
-            self._news[entry.node] = _PASSED_ON
-        known.entry = entry
-        known.news_at = now
-        return fresh
+        is_restart = entry.incarnation > member.entry.incarnation
+        if is_restart or entry.leaving != member.entry.leaving:
+            self._updates[entry.node] = _UPDATE_ROUNDS
+        member.entry = entry
+        member.updated_at = now
+        return is_restart
 
     def alive(self, now: float) -> list[MemberEntry]:
-        """Routers with news within the last few seconds that are not shutting down."""
+        """Return the routers with a recent heartbeat that are not shutting down."""
         return [
-            known.entry
-            for known in self._known.values()
-            if now - known.news_at < self._alive_s() and not known.entry.leaving
+            member.entry
+            for member in self._members.values()
+            if now - member.updated_at < self._alive_timeout_s() and not member.entry.leaving
         ]
 
-    def _alive_s(self) -> float:
-        return ALIVE_S + _ALIVE_PER_ROUTER_S * len(self._known)
+    def _alive_timeout_s(self) -> float:
+        return ALIVE_S + _ALIVE_EXTRA_PER_ROUTER_S * len(self._members)
 
-    def unheard_s(self, node: str, now: float) -> float:
-        """Seconds since a router itself was heard."""
-        known = self._known.get(node)
-        return now - known.heard_at if known is not None else now
+    def silence_s(self, node: str, now: float) -> float:
+        """Return the seconds since the last message from a router itself."""
+        member = self._members.get(node)
+        return now - member.received_at if member is not None else now
 
     def size(self, now: float) -> int:
-        """How many routers are believed alive, this one included."""
+        """Return the number of routers believed alive, including the local one."""
         return len(self.alive(now)) + 1
 
-    def contacts(self, now: float, most: int, rng: random.Random) -> list[MemberEntry]:
-        """At most ``most`` routers to send to: newcomers, live ones, and one that may be back.
+    def select_recipients(
+        self, now: float, max_count: int, rng: random.Random
+    ) -> list[MemberEntry]:
+        """Return at most ``max_count`` recipients: new routers, live ones, and one that is down.
 
-        A router that starts knows only the seeds; all of a large fleet start at once, and without
-        an answer they would wait until a seed's random choice falls on them.
+        A starting router knows only the seeds. When a large fleet starts at once, a router whose
+        message is not answered would have to wait until a seed selects it at random.
         """
         self._forget(now)
         alive = {entry.node: entry for entry in self.alive(now)}
-        silent = [known.entry for node, known in self._known.items() if node not in alive]
-        chosen = self._take_newcomers(most // 3)
+        down = [member.entry for node, member in self._members.items() if node not in alive]
+        chosen = self._take_new_members(max_count // 3)
         for entry in chosen:
             alive.pop(entry.node, None)
-        rest = list(alive.values())
-        room = most - 1 - len(chosen)
-        chosen += rest if len(rest) <= room else rng.sample(rest, room)
-        return chosen + ([rng.choice(silent)] if silent else [])
-
-    def _take_newcomers(self, most: int) -> list[MemberEntry]:
-        taken, self._newcomers = self._newcomers[:most], self._newcomers[most:]
-        return [self._known[node].entry for node in taken if node in self._known]
-
-    def note_knows(self, node: str, knows: int, now: float) -> None:
-        """A router knows so many; one that knows few is to be sent the whole table."""
-        if 2 * knows > len(self._known) or 2 * knows >= self.size(now):
+        live = list(alive.values())
+        capacity = max_count - 1 - len(chosen)
+        chosen += live if len(live) <= capacity else rng.sample(live, capacity)
+        return chosen + ([rng.choice(down)] if down else [])
+
+    def _take_new_members(self, max_count: int) -> list[MemberEntry]:
+        taken, self._new_nodes = self._new_nodes[:max_count], self._new_nodes[max_count:]
+        return [self._members[node].entry for node in taken if node in self._members]
+
+    def note_member_count(self, node: str, member_count: int, now: float) -> None:
+        """Record how many routers a router knows; one that knows few will get the full table."""
+        if 2 * member_count > len(self._members) or 2 * member_count >= self.size(now):
             return
-        if now >= self._helped_at.get(node, -math.inf) + _HELP_EVERY_S:
-            self._helped_at[node] = now
-            self._knowing_few.append(node)
-
-    def take_knowing_few(self, most: int) -> list[MemberEntry]:
-        """At most ``most`` routers that are to be sent the whole table."""
-        taken, self._knowing_few = self._knowing_few[:most], self._knowing_few[most:]
-        return [self._known[node].entry for node in taken if node in self._known]
-
-    def has_news(self) -> bool:
-        """Whether there is something to pass on soon."""
-        return bool(self._news or self._knowing_few)
-
-    def take_news(self) -> list[MemberEntry]:
-        """Routers that have started or are leaving, for the next message."""
-        told = sorted(self._news, key=self._news.get, reverse=True)[:_MOST_NEWS]
-        for node in told:
-            self._news[node] -= 1
-            if not self._news[node]:
-                del self._news[node]
-        return [self._known[node].entry for node in told if node in self._known]
-
-    def sample(self, now: float, most: int, rng: random.Random) -> list[MemberEntry]:
-        """At most ``most`` live routers, for another one's table."""
+        if now >= self._full_table_sent_at.get(node, -math.inf) + _FULL_TABLE_INTERVAL_S:
+            self._full_table_sent_at[node] = now
+            self._full_table_nodes.append(node)
+
+    def take_full_table_recipients(self, max_count: int) -> list[MemberEntry]:
+        """Remove and return at most ``max_count`` routers that should receive the full table."""
+        taken, self._full_table_nodes = (
+            self._full_table_nodes[:max_count],
+            self._full_table_nodes[max_count:],
+        )
+        return [self._members[node].entry for node in taken if node in self._members]
+
+    def has_unsent_updates(self) -> bool:
+        """Whether there are updates to send in this period."""
+        return bool(self._updates or self._full_table_nodes)
+
+    def take_updates(self) -> list[MemberEntry]:
+        """Return the entries of routers that have started or are leaving, for the next message."""
+        nodes = sorted(self._updates, key=self._updates.get, reverse=True)[:_MAX_UPDATES]
+        for node in nodes:
+            self._updates[node] -= 1
+            if not self._updates[node]:
+                del self._updates[node]
+        return [self._members[node].entry for node in nodes if node in self._members]
+
+    def sample(self, now: float, max_count: int, rng: random.Random) -> list[MemberEntry]:
+        """Return the entries of at most ``max_count`` live routers, chosen at random."""
         alive = self.alive(now)
-        return alive if len(alive) <= most else rng.sample(alive, most)
+        return alive if len(alive) <= max_count else rng.sample(alive, max_count)
 
-    def pulses(self, now: float, most: int, rng: random.Random) -> list[Pulse]:
-        """Signs of life of at most ``most`` routers."""
-        found = self.sample(now, most, rng)
-        return [Pulse(entry.node, entry.incarnation, entry.beat) for entry in found]
+    def pulses(self, now: float, max_count: int, rng: random.Random) -> list[Pulse]:
+        """Return the heartbeats of at most ``max_count`` live routers, chosen at random."""
+        found = self.sample(now, max_count, rng)
+        return [Pulse(entry.node, entry.incarnation, entry.heartbeat) for entry in found]
 
-    def learn_pulse(self, pulse: Pulse, now: float) -> None:
-        """Take a sign of life; it tells nothing of a router or of a start that is not known."""
-        known = self._known.get(pulse.node)
-        if known is None or pulse.incarnation != known.entry.incarnation:
+    def update_heartbeat(self, pulse: Pulse, now: float) -> None:
+        """Merge a heartbeat; ignored if its router or incarnation is not in the table."""
+        member = self._members.get(pulse.node)
+        if member is None or pulse.incarnation != member.entry.incarnation:
             return
-        if pulse.beat > known.entry.beat:
-            known.entry = msgspec.structs.replace(known.entry, beat=pulse.beat)
-            known.news_at = now
+        if pulse.heartbeat > member.entry.heartbeat:
+            member.entry = msgspec.structs.replace(member.entry, heartbeat=pulse.heartbeat)
+            member.updated_at = now
 
     def _forget(self, now: float) -> None:
-        horizon = now - _FORGOTTEN_S
-        self._known = {n: known for n, known in self._known.items() if known.news_at > horizon}
-        self._helped_at = {n: at for n, at in self._helped_at.items() if n in self._known}
+        oldest = now - _FORGET_AFTER_S
+        self._members = {
+            n: member for n, member in self._members.items() if member.updated_at > oldest
+        }
+        self._full_table_sent_at = {
+            n: at for n, at in self._full_table_sent_at.items() if n in self._members
+        }
--- a/turmerictray/orders/guard.py
+++ b/turmerictray/orders/guard.py
@@ -1,4 +1,4 @@
-"""The guard that a non-idempotent request passes before its first byte is sent."""
+"""Guard that claims a non-idempotent request's key before the first byte is sent."""
 
 import time
 import uuid
@@ -13,18 +13,22 @@
 from turmerictray.core.ids import NodeId
 from turmerictray.core.logs import log_event
 from turmerictray.core.member import Member
-from turmerictray.orders.ask import AskHome, HomeQuery, HomeState
-from turmerictray.orders.homes import homes_of
 from turmerictray.orders.keys import ClaimKey
+from turmerictray.orders.messages import AskHome, HomeQuery, HomeState
+from turmerictray.orders.replica_selection import replicas_of
 from turmerictray.orders.table import VOTES_VALID_S
 from turmerictray.orders.verdict import Verdict, decide
 from turmerictray.orders.vote import Vote
 from turmerictray.orders.wire import Release, Take
 
 _VOTES_WAIT_S = 0.6
+"""Time to wait for the replicas' votes on a claim."""
+
 _STATE_WAIT_S = 2.0
-_FRESH_PART = 0.5
-"""Part of the homes' memory in which a granted claim may still be acted on."""
+"""Time to wait for the state of the local replica."""
+
+_FRESH_FRACTION = 0.5
+"""Fraction of the replicas' retention time in which a granted claim may be used."""
 
 
 @dataclass(frozen=True)
@@ -36,46 +40,46 @@
     key : ClaimKey
     holder : str
         Unique id of this claim.
-    asked_at : float
-        Monotonic time before the homes were asked, in seconds.
-    memory_s : float
-        How long the homes remember it, in seconds.
+    requested_at : float
+        Monotonic time just before the claim was sent to the replicas, in seconds.
+    retention_s : float
+        Time for which the replicas store the claim, in seconds.
     """
 
     key: ClaimKey
     holder: str
-    asked_at: float
-    memory_s: float
+    requested_at: float
+    retention_s: float
 
-    def fresh(self, now: float) -> bool:
-        """Whether the homes surely still hold this claim at monotonic time ``now``."""
-        return now - self.asked_at < self.memory_s * _FRESH_PART
+    def is_fresh(self, now: float) -> bool:
+        """Whether the replicas are certain to store this claim at monotonic time ``now``."""
+        return now - self.requested_at < self.retention_s * _FRESH_FRACTION
 
 
 class OrderGuard:
-    """Claims keys at their homes.
+    """Claims keys at their replicas.
 
     Parameters
     ----------
     node : NodeId
-        This router.
+        The local router.
     members : list of Member
-        Every router of the deployment, this one included.
-    homes : dict of NodeId to pykka.ActorRef
-        Per member the actor that takes :class:`~turmerictray.orders.ask.AskHome` for it: the
-        own :class:`~turmerictray.orders.home.ClaimHome`, and a
-        :class:`~turmerictray.orders.link.HomeLink` per peer.
+        All routers of the deployment, including the local one.
+    replicas : dict of NodeId to pykka.ActorRef
+        The actor that handles :class:`~turmerictray.orders.messages.AskHome` for each member: the
+        local :class:`~turmerictray.orders.replica.ClaimHome`, or the
+        :class:`~turmerictray.orders.link.HomeLink` to a peer.
     """
 
     def __init__(
-        self, node: NodeId, members: list[Member], homes: dict[NodeId, pykka.ActorRef]
+        self, node: NodeId, members: list[Member], replicas: dict[NodeId, pykka.ActorRef]
     ) -> None:
         self.node = node
         self.members = members
-        self.homes = homes
+        self.replicas = replicas
 
-    def take(
-        self, key: ClaimKey, policy: CutPolicy, memory_s: float, retry_after_s: float
+    def acquire(
+        self, key: ClaimKey, policy: CutPolicy, retention_s: float, retry_after_s: float
     ) -> Claim:
         """Claim ``key`` for one request.
 
@@ -83,55 +87,56 @@
         ----------
         key : ClaimKey
         policy : CutPolicy
-            What to do when too few homes answer.
-        memory_s, retry_after_s : float
+            Whether to grant the claim when too few replicas do.
+        retention_s, retry_after_s : float
             Seconds, from the configuration's limits.
 
         Raises
         ------
         DuplicateOrder
-            Another copy of the request holds the key; this one was not run.
+            If another copy of the request holds the key; this one was not run.
         ClaimUnavailable
-            Too few homes could vouch for the key; the request was not run.
+            If too few replicas granted the claim; the request was not run.
         """
-        claim = Claim(key, uuid.uuid4().hex, time.monotonic(), memory_s)
-        votes = self._votes(Take(key, claim.holder))
+        claim = Claim(key, uuid.uuid4().hex, time.monotonic(), retention_s)
+        votes = self._collect_votes(Take(key, claim.holder))
         verdict = decide(votes, policy)
-        if verdict is Verdict.GRANTED and time.monotonic() - claim.asked_at > VOTES_VALID_S:
-            # Frozen while asking: a home may have restarted since and asked the others before
-            # this claim reached them, so an old majority proves nothing.
+        if verdict is Verdict.GRANTED and time.monotonic() - claim.requested_at > VOTES_VALID_S:
+            # This process was paused while it collected the votes. Meanwhile a replica may have
+            # restarted and synced with the others before this claim reached them, so a majority
+            # that is this old does not exclude a second one.
             verdict = Verdict.UNAVAILABLE
         metrics.CLAIMS.labels(verdict.value).inc()
         if verdict is Verdict.GRANTED:
             if votes.count(Vote.GRANTED) < len(votes):
-                log_event("claim_partial", key=key.hex(), votes=_names(votes))
+                log_event("claim_partial", key=key.hex(), votes=_format_votes(votes))
             return claim
-        log_event("claim_refused", key=key.hex(), verdict=verdict.value, votes=_names(votes))
+        log_event("claim_refused", key=key.hex(), verdict=verdict.value, votes=_format_votes(votes))
         self.release(claim)
         if verdict is Verdict.DUPLICATE:
             raise DuplicateOrder("another request with this key was already taken")
         raise ClaimUnavailable("order_homes_unreachable", retry_after_s)
 
     def release(self, claim: Claim) -> None:
-        """Give a claim back after its request was provably not run; does not wait."""
-        self._put(Release(claim.key, claim.holder))
+        """Release a claim whose request was certainly not run, without waiting for replies."""
+        self._send(Release(claim.key, claim.holder))
 
     def state(self) -> HomeState:
-        """The state of this router's own home."""
-        return self.homes[self.node].ask(HomeQuery(), timeout=_STATE_WAIT_S)
+        """Return the state of the local replica."""
+        return self.replicas[self.node].ask(HomeQuery(), timeout=_STATE_WAIT_S)
 
-    def _put(self, question: Take | Release) -> list[Future]:
-        futs = []
-        for node in homes_of(question.key, self.members):
-            ask = AskHome(question)
-            self.homes[node].tell(ask)
-            futs.append(ask.reply)
-        return futs
+    def _send(self, request: Take | Release) -> list[Future]:
+        replies = []
+        for node in replicas_of(request.key, self.members):
+            message = AskHome(request)
+            self.replicas[node].tell(message)
+            replies.append(message.reply)
+        return replies
 
-    def _votes(self, question: Take) -> list[Vote]:
-        done, late = wait(self._put(question), timeout=_VOTES_WAIT_S)
-        return [fut.result() for fut in done] + [Vote.UNREACHABLE] * len(late)
+    def _collect_votes(self, request: Take) -> list[Vote]:
+        done, late = wait(self._send(request), timeout=_VOTES_WAIT_S)
+        return [future.result() for future in done] + [Vote.UNREACHABLE] * len(late)
 
 
-def _names(votes: list[Vote]) -> str:
+def _format_votes(votes: list[Vote]) -> str:
     return ",".join(vote.value for vote in votes)
--- a/turmerictray/orders/keys.py
+++ b/turmerictray/orders/keys.py
@@ -1,4 +1,4 @@
-"""Keys of non-idempotent requests, as routers tell them to each other."""
+"""Claim keys: digests that identify non-idempotent requests between routers."""
 
 import hashlib
 from typing import NewType
@@ -12,15 +12,15 @@
 
 
 def claim_key(team: TeamId, service: ServiceName, req_id: RequestId) -> ClaimKey:
-    """The claim key of a request.
+    """Compute the claim key of a request.
 
     Parameters
     ----------
     team : TeamId
-        Two teams that happen to choose the same idempotency key do not meet.
+        Part of the key, so that equal idempotency keys of two teams do not collide.
     service : ServiceName
     req_id : RequestId
-        The caller's ``Idempotency-Key`` (or request id).
+        The caller's ``Idempotency-Key``, or the request id.
 
     Returns
     -------
--- a/turmerictray/orders/link.py
+++ b/turmerictray/orders/link.py
@@ -1,4 +1,4 @@
-"""The link to one peer's home: owns the socket and asks one question at a time."""
+"""Link to one peer's replica: owns the socket and sends one request at a time."""
 
 import time
 from functools import singledispatchmethod
@@ -12,47 +12,50 @@
 from turmerictray.core.ids import NodeId
 from turmerictray.core.logs import log_event, log_unknown_message
 from turmerictray.core.timer import Tick
-from turmerictray.orders.ask import AskHome, Synced
-from turmerictray.orders.table import SETTLE_S
+from turmerictray.orders.messages import AskHome, Synced
+from turmerictray.orders.table import SYNC_DELAY_S
 from turmerictray.orders.vote import Vote
 from turmerictray.orders.wire import (
     ANSWER_DECODER,
     ENCODER,
-    HomeAnswer,
-    HomeRequest,
     Records,
+    ReplicaAnswer,
+    ReplicaRequest,
     Sync,
     Voted,
 )
 
 _SEND_TIMEOUT_MS = 100
 _RECV_TIMEOUT_MS = 300
-_HOLD_OFF_S = 1.0
+_UNREACHABLE_PAUSE_S = 1.0
+"""Time for which a peer that did not answer is considered unreachable."""
 
 
 class HomeLink(BackgroundActor):
-    """Asks one peer's home, and on start fetches what it remembers for this router.
+    """Queries one peer's replica, and after the start fetches the claims that it stores.
 
     Parameters
     ----------
     node : NodeId
-        This router.
+        The local router.
     peer : NodeId
     address : str
-        The peer's claims address, ``tcp://host:port``.
-    home : pykka.ActorRef
-        This router's own :class:`~turmerictray.orders.home.ClaimHome`.
+        Address of the peer's replica, ``tcp://host:port``.
+    local_replica : pykka.ActorRef
+        The local :class:`~turmerictray.orders.replica.ClaimHome`.
     """
 
-    def __init__(self, node: NodeId, peer: NodeId, address: str, home: pykka.ActorRef) -> None:
+    def __init__(
+        self, node: NodeId, peer: NodeId, address: str, local_replica: pykka.ActorRef
+    ) -> None:
         super().__init__()
         self.node = node
         self.peer = peer
         self.address = address
-        self.home = home
+        self.local_replica = local_replica
         self.started_at = time.monotonic()
         self.synced = False
-        self.silent_until = 0.0
+        self.unreachable_until = 0.0
         self._req: pynng.Req0 | None = None
 
     def on_start(self) -> None:
@@ -69,35 +72,35 @@
 
     @on_receive.register
     def _(self, msg: AskHome) -> None:
-        # Waiting out the timeout for every order while a peer is down would queue orders
-        # behind each other here; after one silence the peer counts as unreachable for a
-        # second, and its two fellow homes decide.
+        # Waiting for the timeout with every order while a peer is down would queue the orders
+        # here. After one timeout the peer is considered unreachable for a second, in which the
+        # key's other two replicas decide.
         answer = None
-        if time.monotonic() >= self.silent_until:
-            answer = self._exchange(msg.question)
+        if time.monotonic() >= self.unreachable_until:
+            answer = self._exchange(msg.request)
         msg.reply.give(answer.vote if isinstance(answer, Voted) else Vote.UNREACHABLE)
 
     @on_receive.register
     def _(self, _msg: Tick) -> None:
-        asked_at = time.monotonic()
-        if self.synced or asked_at - self.started_at < SETTLE_S:
+        requested_at = time.monotonic()
+        if self.synced or requested_at - self.started_at < SYNC_DELAY_S:
             return
         answer = self._exchange(Sync(self.node))
         if isinstance(answer, Records):
             self.synced = True
-            self.home.tell(Synced(answer, asked_at))
+            self.local_replica.tell(Synced(answer, requested_at))
 
-    def _exchange(self, question: HomeRequest) -> HomeAnswer | None:
-        data = ENCODER.encode(question)
+    def _exchange(self, request: ReplicaRequest) -> ReplicaAnswer | None:
+        data = ENCODER.encode(request)
         try:
             self._req.send(data)
             raw = self._req.recv()
             metrics.count_control("claims", len(data), len(raw))
             answer = ANSWER_DECODER.decode(raw)
         except (pynng.NNGException, msgspec.DecodeError) as exc:
-            if self.silent_until == 0.0:
+            if self.unreachable_until == 0.0:
                 log_event("home_silent", peer=self.peer, reason=type(exc).__name__)
-            self.silent_until = time.monotonic() + _HOLD_OFF_S
+            self.unreachable_until = time.monotonic() + _UNREACHABLE_PAUSE_S
             return None
-        self.silent_until = 0.0
+        self.unreachable_until = 0.0
         return answer
--- a/turmerictray/orders/home.py
+++ b/turmerictray/orders/replica.py
@@ -1,4 +1,4 @@
-"""The home actor: owns this router's claim table and the socket that peers ask."""
+"""Replica actor: owns this router's claim table and the socket on which peers query it."""
 
 import threading
 import time
@@ -16,37 +16,40 @@
 from turmerictray.core.logs import log_event, log_unknown_message
 from turmerictray.core.member import Member
 from turmerictray.core.timer import Tick
-from turmerictray.orders.ask import AskHome, HomeQuery, HomeState, Synced
+from turmerictray.orders.messages import AskHome, HomeQuery, HomeState, Synced
 from turmerictray.orders.table import ClaimTable
 from turmerictray.orders.vote import Vote
 from turmerictray.orders.wire import (
     ENCODER,
     REQUEST_DECODER,
-    HomeAnswer,
-    HomeRequest,
     Records,
     Release,
+    ReplicaAnswer,
+    ReplicaRequest,
     Sync,
     Take,
     Voted,
 )
 
 _RECV_TIMEOUT_MS = 1000
+"""Interval at which the socket thread checks whether the actor is stopping."""
+
 _ASK_TIMEOUT_S = 2.0
+"""Time the socket thread waits for the actor's answer to a peer's request."""
 
 
 class ClaimHome(BackgroundActor):
-    """Answers claims, from peers over a REP socket and from this router by message.
+    """Votes on claims, from peers over a REP socket and from this router by actor messages.
 
     Parameters
     ----------
     node : NodeId
     members : list of Member
-        Every router of the deployment.
+        All routers of the deployment.
     listen : str
-        Own address, ``tcp://host:port``.
+        Address to listen on, ``tcp://host:port``.
     snapshot : ConfigSnapshot
-        Gives ``limits.order_memory_s`` of the configuration in force.
+        Source of ``limits.order_memory_s`` in the active configuration.
     """
 
     def __init__(
@@ -59,15 +62,15 @@
         self.table = ClaimTable(node, members, time.monotonic())
         self._closing = threading.Event()
         self._rep: pynng.Rep0 | None = None
-        self._reader: threading.Thread | None = None
+        self._thread: threading.Thread | None = None
 
     def on_start(self) -> None:
         try:
             self._rep = pynng.Rep0(listen=self.listen, recv_timeout=_RECV_TIMEOUT_MS)
         except pynng.NNGException as exc:
             raise PeerError(f"cannot listen on {self.listen}: {exc}") from exc
-        self._reader = threading.Thread(target=self._read, name="claims-reader", daemon=True)
-        self._reader.start()
+        self._thread = threading.Thread(target=self._serve_peers, name="claims-reader", daemon=True)
+        self._thread.start()
 
     def on_stop(self) -> None:
         self._closing.set()
@@ -75,18 +78,18 @@
             self._rep.close()
 
     @singledispatchmethod
-    def on_receive(self, message: object) -> HomeAnswer | None:
+    def on_receive(self, message: object) -> ReplicaAnswer | None:
         log_unknown_message(message)
         return None
 
     @on_receive.register
     def _(self, msg: AskHome) -> None:
-        vote = self.on_receive(msg.question).vote
+        vote = self.on_receive(msg.request).vote
         msg.reply.give(vote)
 
     @on_receive.register
     def _(self, msg: Take) -> Voted:
-        return Voted(self.table.take(msg.key, msg.holder, self._memory_s(), time.monotonic()))
+        return Voted(self.table.acquire(msg.key, msg.holder, self._retention_s(), time.monotonic()))
 
     @on_receive.register
     def _(self, msg: Release) -> Voted:
@@ -99,24 +102,24 @@
 
     @on_receive.register
     def _(self, msg: Synced) -> None:
-        rec = msg.answer
-        self.table.absorb(rec.source, rec.records, msg.asked_at, time.monotonic())
-        log_event("claims_synced", peer=rec.source, records=len(rec.records))
+        answer = msg.answer
+        self.table.merge_records(answer.source, answer.records, msg.requested_at, time.monotonic())
+        log_event("claims_synced", peer=answer.source, records=len(answer.records))
 
     @on_receive.register
     def _(self, _msg: HomeQuery) -> HomeState:
-        vouching = self.table.vouches_for_all(self._memory_s(), time.monotonic())
+        vouching = self.table.is_complete(self._retention_s(), time.monotonic())
         return HomeState(len(self.table), sorted(self.table.synced), vouching)
 
     @on_receive.register
     def _(self, msg: Tick) -> None:
-        self.table.expire(self._memory_s(), msg.now)
+        self.table.expire(self._retention_s(), msg.now)
         metrics.CLAIMS_KEPT.set(len(self.table))
 
-    def _memory_s(self) -> float:
+    def _retention_s(self) -> float:
         return self.snapshot.limits().order_memory_s
 
-    def _read(self) -> None:
+    def _serve_peers(self) -> None:
         while not self._closing.is_set():
             try:
                 data = self._rep.recv()
@@ -133,8 +136,8 @@
 
     def _answer(self, data: bytes) -> bytes:
         try:
-            req: HomeRequest = REQUEST_DECODER.decode(data)
-            return ENCODER.encode(self.actor_ref.ask(req, timeout=_ASK_TIMEOUT_S))
+            request: ReplicaRequest = REQUEST_DECODER.decode(data)
+            return ENCODER.encode(self.actor_ref.ask(request, timeout=_ASK_TIMEOUT_S))
         except msgspec.DecodeError:
             log_event("peer_bad_message", level="WARNING", size=len(data))
         except (pykka.ActorDeadError, pykka.Timeout):
--- a/turmerictray/orders/verdict.py
+++ b/turmerictray/orders/verdict.py
@@ -1,9 +1,9 @@
-"""From the homes' votes to what happens to the request."""
+"""Decision on a claim, from the votes of the key's replicas."""
 
 from enum import Enum
 
 from turmerictray.config.schema import CutPolicy
-from turmerictray.orders.homes import majority
+from turmerictray.orders.replica_selection import majority
 from turmerictray.orders.vote import Vote
 
 
@@ -16,21 +16,21 @@
 
 
 def decide(votes: list[Vote], policy: CutPolicy) -> Verdict:
-    """Judge one claim.
+    """Decide whether a claim is granted.
 
     Parameters
     ----------
     votes : list of Vote
-        One per home of the key.
+        One per replica of the key.
     policy : CutPolicy
-        What to do without a majority.
+        Whether to grant a claim without a majority.
 
     Returns
     -------
     Verdict
-        Any home that holds the key for another request decides alone. Two majorities of the
-        same homes share at least one home, so two requests with one key cannot both be granted
-        under ``REFUSE``.
+        ``DUPLICATE`` if any replica stores a claim of another request on the key. Two majorities
+        of the same replicas share at least one replica, so two requests with the same key cannot
+        both be granted under ``REFUSE``.
     """
     if Vote.HELD in votes:
         return Verdict.DUPLICATE
--- a/turmerictray/orders/vote.py
+++ b/turmerictray/orders/vote.py
@@ -1,13 +1,14 @@
-"""What one home answers about one key."""
+"""Vote of one replica on a claim."""
 
 from enum import Enum
 
 
 class Vote(Enum):
-    """A home's answer to a claim.
+    """A replica's answer to a claim.
 
-    ``UNSURE`` comes from a home that restarted and may have forgotten a claim; ``UNREACHABLE``
-    stands for a home that did not answer in time.
+    ``HELD`` means that another request holds the key. ``UNSURE`` comes from a replica that has
+    restarted and may have lost a claim on the key. ``UNREACHABLE`` stands for a replica that did
+    not answer in time.
     """
 
     GRANTED = "granted"
--- a/turmerictray/orders/wire.py
+++ b/turmerictray/orders/wire.py
@@ -1,4 +1,4 @@
-"""Messages between routers about claims, as msgpack over pynng request/reply sockets."""
+"""Wire messages about claims, encoded as msgpack and sent over pynng request/reply sockets."""
 
 import msgspec
 
@@ -8,27 +8,27 @@
 
 
 class Take(msgspec.Struct, frozen=True, tag="take", array_like=True):
-    """Claim a key."""
+    """Request to claim a key."""
 
     key: ClaimKey
     holder: str
 
 
 class Release(msgspec.Struct, frozen=True, tag="release", array_like=True):
-    """Give a claimed key back: its request was not run."""
+    """Request to release a claim whose request was not run."""
 
     key: ClaimKey
     holder: str
 
 
 class Sync(msgspec.Struct, frozen=True, tag="sync", array_like=True):
-    """Ask for the claims whose homes include ``node``."""
+    """Request for the claims of which ``node`` is a replica."""
 
     node: NodeId
 
 
 class ClaimRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One remembered claim; ``age_s`` is its age in seconds, as clocks differ."""
+    """One stored claim, with its age in seconds because the routers' clocks differ."""
 
     key: ClaimKey
     holder: str
@@ -48,9 +48,9 @@
     records: list[ClaimRecord]
 
 
-HomeRequest = Take | Release | Sync
-HomeAnswer = Voted | Records
+ReplicaRequest = Take | Release | Sync
+ReplicaAnswer = Voted | Records
 
-REQUEST_DECODER = msgspec.msgpack.Decoder(HomeRequest)
-ANSWER_DECODER = msgspec.msgpack.Decoder(HomeAnswer)
+REQUEST_DECODER = msgspec.msgpack.Decoder(ReplicaRequest)
+ANSWER_DECODER = msgspec.msgpack.Decoder(ReplicaAnswer)
 ENCODER = msgspec.msgpack.Encoder()
--- a/turmerictray/placement/__init__.py
+++ b/turmerictray/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Orders that have engines load the models the configuration gives them."""
+"""Orders to engines to load the models assigned to them by the configuration."""
--- a/turmerictray/placement/engine.py
+++ b/turmerictray/placement/engine.py
@@ -1,4 +1,4 @@
-"""Reading an engine's models and giving it orders, over HTTP."""
+"""HTTP client that reads an engine's loaded models and sends it orders."""
 
 import msgspec
 import urllib3
@@ -7,18 +7,18 @@
 from turmerictray.core.errors import EngineError, StaleFence
 
 _TIMEOUT = urllib3.Timeout(connect=0.5, read=1.0)
-_HEADERS_SIZE = 150
+_HEADERS_SIZE_BYTES = 150
 
 
 class EngineModels(msgspec.Struct, frozen=True):
-    """What an engine has loaded, and the highest fencing number it has seen."""
+    """Models an engine has loaded, and the highest fencing number it has seen."""
 
     models: list[str]
     fence: int = 0
 
 
 class ModelOrder(msgspec.Struct, frozen=True):
-    """An order to hold exactly ``models``; ``fence`` is the configuration's version."""
+    """Order to load exactly ``models``; ``fence`` is the configuration's version."""
 
     fence: int
     models: list[str]
@@ -26,36 +26,36 @@
 
 
 class EngineClient:
-    """Calls engines' order interface."""
+    """Client of the engines' order interface."""
 
     def __init__(self) -> None:
         self._http = urllib3.PoolManager(num_pools=256, retries=False)
 
     def read(self, url: str) -> EngineModels:
-        """What the engine at ``url`` has loaded.
+        """Return the models that the engine at ``url`` has loaded.
 
         Raises
         ------
         EngineError
-            The engine could not be reached or gave no sense.
+            If the engine could not be reached or its response is invalid.
         """
         return msgspec.convert(self._call("GET", url + "/admin/models"), EngineModels)
 
     def order(self, url: str, order: ModelOrder, node: str) -> None:
-        """Give an order.
+        """Send an order to the engine at ``url``.
 
         Raises
         ------
         StaleFence
-            The engine has seen a higher fencing number and refused.
+            If the engine has seen a higher fencing number and refused the order.
         EngineError
-            The order failed; it may or may not have been taken, and may be given again.
+            If the order failed. It may have been executed, and may be sent again.
         """
         body = msgspec.json.encode(order)
         self._call("POST", url + "/admin/order", body, {"X-Router": node})
 
     def close(self) -> None:
-        """Close the connections."""
+        """Close all connections."""
         self._http.clear()
 
     def _call(self, method: str, url: str, body: bytes | None = None, headers=None) -> object:
@@ -65,7 +65,9 @@
         except (urllib3.exceptions.HTTPError, msgspec.DecodeError) as exc:
             raise EngineError(f"{url}: {type(exc).__name__}") from exc
         metrics.count_control(
-            "placement", len(body or b"") + _HEADERS_SIZE, len(resp.data) + _HEADERS_SIZE
+            "placement",
+            len(body or b"") + _HEADERS_SIZE_BYTES,
+            len(resp.data) + _HEADERS_SIZE_BYTES,
         )
         if resp.status == 409:
             raise StaleFence(f"{url}: order refused as stale")
--- a/turmerictray/placement/issuer.py
+++ b/turmerictray/placement/issuer.py
@@ -1,9 +1,10 @@
-"""Which router gives an engine its orders.
+"""Choice of the router that sends an engine its orders.
 
-One router per engine, so that a change does not send every engine as many orders as there are
-routers through a rate-limited weight store. Nothing is agreed on: each router ranks those it
-hears, and during a cut or a change of members two may take the same engine for theirs. That is
-harmless, since an order carries the whole wanted state and the configuration's version.
+Only one router sends orders to an engine, so that a change does not cause as many model loads per
+engine from a rate-limited weight store as there are routers. The routers do not coordinate: each
+ranks the routers from which it receives heartbeats, and during a network partition or a membership
+change two may consider themselves responsible for the same engine. That is harmless, since an order
+contains the complete desired state and the configuration's version.
 """
 
 import hashlib
@@ -12,23 +13,23 @@
 from turmerictray.core.member import Member
 
 
-def issuer_of(target: str, zone: str, live: list[Member]) -> NodeId:
-    """The router that gives ``target`` its orders.
+def responsible_router(target: str, zone: str, live: list[Member]) -> NodeId:
+    """Return the router that sends ``target`` its orders.
 
     Parameters
     ----------
     target, zone : str
-        The engine and its availability zone.
+        Engine and its availability zone.
     live : list of Member
-        The routers heard lately, this one included; not empty.
+        Routers with a recent heartbeat, including this one; not empty.
 
     Returns
     -------
     NodeId
-        The best-ranked router of the engine's zone, or of all where the zone has none.
+        Highest-ranked router of the engine's zone, or of all zones if it has none.
     """
-    near = [member for member in live if member.zone == zone] or live
-    return max(near, key=lambda member: _rank(target, member.node)).node
+    candidates = [member for member in live if member.zone == zone] or live
+    return max(candidates, key=lambda member: _rank(target, member.node)).node
 
 
 def _rank(target: str, node: NodeId) -> bytes:
--- a/turmerictray/platform/engines.py
+++ b/turmerictray/platform/engines.py
@@ -6,7 +6,7 @@
 from turmerictray.core.errors import EngineError
 from turmerictray.platform.documents import target_id
 from turmerictray.routing.load import TargetInfo
-from turmerictray.routing.prompt import Part, PartId
+from turmerictray.routing.prompt import PartId, PromptPart
 
 _LIST_S = 1.0
 """Listing takes an engine some milliseconds; one that is not done by then has other troubles."""
@@ -19,7 +19,7 @@
     held: list[tuple[str, str, int, str]] = []
 
 
-def list_kept(engine: TargetInfo) -> list[Part]:
+def list_kept(engine: TargetInfo) -> list[PromptPart]:
     """The parts of prompts that an engine keeps.
 
     Raises
@@ -27,7 +27,7 @@
     EngineError
         It can't be reached, is another one than expected, or its answer can't be read.
     """
-    headers = {"X-Expect-Instance": engine.own_name, "Connection": "close"}
+    headers = {"X-Expect-Instance": engine.instance_name, "Connection": "close"}
     url = f"http://{engine.address}/api/kv-list"
     try:
         resp = urllib3.request("GET", url, headers=headers, timeout=_LIST_S, retries=False)
@@ -36,6 +36,9 @@
         listing = msgspec.json.decode(resp.data, type=_Listing)
     except (urllib3.exceptions.HTTPError, msgspec.DecodeError) as exc:
         raise EngineError(f"{engine.address}: {exc}") from exc
-    if listing.born is not msgspec.UNSET and target_id(engine.own_name, listing.born) != engine.id:
+    if (
+        listing.born is not msgspec.UNSET
+        and target_id(engine.instance_name, listing.born) != engine.id
+    ):
         raise EngineError(f"{engine.address} has started again since it was listed")
-    return [Part(PartId(part), tokens) for _, part, tokens, _ in listing.held]
+    return [PromptPart(PartId(part), tokens) for _, part, tokens, _ in listing.held]
--- a/turmerictray/platform/headers.py
+++ b/turmerictray/platform/headers.py
@@ -6,7 +6,7 @@
 from turmerictray.core.ids import RequestId, TeamId
 from turmerictray.router.dialect import AnswerSigns, Envelope
 from turmerictray.routing.load import TargetInfo
-from turmerictray.routing.prompt import Part, PartId, Prompt
+from turmerictray.routing.prompt import PartId, Prompt, PromptPart
 from turmerictray.transport.exchange import HOP_BY_HOP, Header, RequestHead
 from turmerictray.transport.target_conn import AnswerHead
 
@@ -87,7 +87,7 @@
             headers = [(name, val) for name, val in headers if name != _RESUME_AFTER]
             headers.append((_RESUME_AFTER, resume_after))
         headers.append((_TIME_LEFT, str(max(1, int(left_s * 1000)))))
-        headers.append((_INSTANCE, target.own_name))
+        headers.append((_INSTANCE, target.instance_name))
         if team is not None:
             headers.append((_TEAM, team))
         if fetch_from:
@@ -150,7 +150,7 @@
     try:
         tokens_in, _, tokens_out = count.partition(",")
         listed = [item.strip().rpartition(":") for item in (parts or "").split(",") if item.strip()]
-        found = tuple(Part(PartId(name), int(tokens)) for name, _, tokens in listed)
+        found = tuple(PromptPart(PartId(name), int(tokens)) for name, _, tokens in listed)
         return Prompt(found, int(tokens_in), int(tokens_out or 0))
     except ValueError:
         raise CallerError(f"{_TOKEN_COUNT} or {_PROMPT} can't be read") from None
--- a/turmerictray/router/broker.py
+++ b/turmerictray/router/broker.py
@@ -1,12 +1,12 @@
-"""The broker: the actor that owns the pools and grants targets to requests."""
+"""The actor that owns the target pools and assigns targets to requests."""
 
 import time
 from collections.abc import Callable
 from functools import singledispatchmethod
 
 from turmerictray.admission.budget import RetryBudget
-from turmerictray.admission.pool import Outcome, Sent, ServicePool, Wanted
-from turmerictray.admission.quarantine import LAST_TRY_AT, Quarantine
+from turmerictray.admission.pool import Dispatch, Outcome, PlacementContext, ServicePool
+from turmerictray.admission.quarantine import NO_RETRY_THRESHOLD, Quarantine
 from turmerictray.config.routes import RoutingText
 from turmerictray.core import metrics
 from turmerictray.core.actor import VitalActor
@@ -21,19 +21,19 @@
 )
 from turmerictray.core.logs import log_event, log_unknown_message
 from turmerictray.core.timer import Tick
-from turmerictray.fairness.changed import ChangedService
-from turmerictray.fairness.queue import Pending
-from turmerictray.fairness.recent import RecentService
+from turmerictray.fairness.changed_usage import ChangedUsage
+from turmerictray.fairness.queue import PendingRequest
+from turmerictray.fairness.recent_usage import RecentUsage
 from turmerictray.membership.messages import PartRead, RouterSummary, TargetWork
 from turmerictray.router.broker_messages import (
     Ask,
     BrokerQuery,
+    CachedParts,
     CaughtUp,
     EnginesQuery,
     FirstEvent,
     Granted,
     KeptHeard,
-    KeptParts,
     KeptQuery,
     OnTick,
     PeerHeard,
@@ -47,19 +47,20 @@
     TextArrived,
     Withdraw,
 )
+from turmerictray.router.grant_throttle import GrantThrottle
 from turmerictray.router.pool_gauges import PoolGauges
-from turmerictray.router.rounds import GrantRounds
 from turmerictray.router.service_pools import ServicePools
 from turmerictray.router.text_in_force import RepeatLimits, TextInForce
 from turmerictray.routing.load import PeerLoad, TargetInfo, TargetPhase
-from turmerictray.routing.prompt import Part, PartId
+from turmerictray.routing.prompt import PartId, PromptPart
 from turmerictray.scheduling.messages import ServiceGiven
 
-_BUSY_RETRY_S = 0.5
+_BUDGET_RETRY_AFTER_S = 0.5
+"""Retry-After in seconds when a service's retry budget is used up."""
 
 
 class Broker(VitalActor):
-    """Grants targets to requests, by team.
+    """Queues requests per team and assigns targets to them in fair-share order.
 
     Parameters
     ----------
@@ -68,11 +69,11 @@
     incarnation : int
         This process's start time in nanoseconds.
     in_force : TextInForce
-        Where the text in force is put for other threads to read.
-    repeats : RepeatLimits
-        The fleet's budget of repeats, per service.
+        Holds the active routing configuration, which other threads read.
+    retry_limits : RepeatLimits
+        The fleet-wide retry budget of each service.
     quarantine : Quarantine or None
-        What is known of requests under which targets have ended; None for nothing yet.
+        Records of requests that crashed targets; None starts with an empty one.
     """
 
     def __init__(
@@ -81,7 +82,7 @@
         zone: ZoneId,
         incarnation: int,
         in_force: TextInForce,
-        repeats: RepeatLimits,
+        retry_limits: RepeatLimits,
         quarantine: Quarantine | None = None,
     ) -> None:
         super().__init__()
@@ -89,29 +90,29 @@
         self.zone = zone
         self.incarnation = incarnation
         self.in_force = in_force
-        self.repeats = repeats
+        self.retry_limits = retry_limits
         self.quarantine = quarantine or Quarantine()
-        self.ledger = RecentService(node)
+        self.ledger = RecentUsage(node)
         self.pools = ServicePools(self._make_pool)
-        self.tell_given: Callable[[ServiceName, int, ServiceGiven], None] | None = None
-        self.given = ChangedService()
-        self.routers = 1
-        self.alive: frozenset[str] = frozenset({node})
-        # Called with each tick that is not late. Parts that look after requests at the same rhythm
-        # need no thread of their own: each would wake up twenty times a second on every router.
-        self.on_tick: tuple[Callable[[float], None], ...] = ()
-        self.summarised = ChangedService()
+        self.send_usage_report: Callable[[ServiceName, int, ServiceGiven], None] | None = None
+        self.shard_usage_changes = ChangedUsage()
+        self.fleet_size = 1
+        self.live_routers: frozenset[str] = frozenset({node})
+        # Called on each tick that is not late. Components that run at the same interval share this
+        # thread; a thread per component would wake up 20 times a second on every router.
+        self.tick_hooks: tuple[Callable[[float], None], ...] = ()
+        self.gossip_usage_changes = ChangedUsage()
         self._gauges = PoolGauges()
-        self._rounds = GrantRounds(self._grant_all, self.actor_inbox.empty)
+        self._grants = GrantThrottle(self._grant_ready, self.actor_inbox.empty)
 
     def on_receive(self, message: object) -> object:
         result = self.handle(message)
-        self._rounds.run_due()
+        self._grants.run_due()
         return result
 
     @singledispatchmethod
     def handle(self, message: object) -> object:
-        """Take a message; what it makes possible is granted in the next round."""
+        """Handle a message; requests that it makes grantable wait for the next grant round."""
         log_unknown_message(message)
         return None
 
@@ -120,69 +121,72 @@
     @handle.register
     def _(self, msg: Ask) -> None:
         now = time.monotonic()
-        pool = self.pools.of(msg.service, msg.shard)
+        pool = self.pools.for_shard(msg.service, msg.shard)
         if not msg.retry:
             pool.budget.note_request(now)
-        wanted = self._wanted(msg, now)
-        item = Pending(msg.req_id, msg.team, msg.cost, msg.wait_until, msg.reply, wanted)
+        context = self._placement_context(msg, now)
+        request = PendingRequest(
+            msg.req_id, msg.team, msg.cost, msg.queue_deadline, msg.reply, context
+        )
         try:
             self.quarantine.check(msg.digest, now)
-            if msg.repeat and not pool.budget.take(now):
-                raise RepeatsUsedUp("repeats_used_up", _BUSY_RETRY_S)
-            pool.offer(item, now, msg.retry)
+            if msg.repeat and not pool.budget.try_spend(now):
+                raise RepeatsUsedUp("repeats_used_up", _BUDGET_RETRY_AFTER_S)
+            pool.enqueue(request, now, msg.retry)
         except AdmissionError as exc:
             msg.reply.refuse(exc)
             return
-        self._rounds.want(pool, now)
+        self._grants.request_round(pool, now)
 
-    def _wanted(self, msg: Ask, now: float) -> Wanted:
-        return Wanted(
+    def _placement_context(self, msg: Ask, now: float) -> PlacementContext:
+        return PlacementContext(
             msg.call_id,
             msg.prompt,
             msg.exclude,
             msg.origin,
             msg.zone,
             msg.digest,
-            apart=self.quarantine.endings(msg.digest, now) >= LAST_TRY_AT,
-            give_up=msg.give_up,
+            isolated=self.quarantine.crash_count(msg.digest, now) >= NO_RETRY_THRESHOLD,
+            answer_deadline=msg.answer_deadline,
         )
 
     @handle.register
     def _(self, msg: Withdraw) -> None:
-        for pool in self.pools.of_service(msg.service):
-            item = pool.withdraw(msg.call_id)
-            if item is not None:
-                item.reply.refuse(CallerGone("caller gone while waiting"))
+        for pool in self.pools.for_service(msg.service):
+            request = pool.withdraw(msg.call_id)
+            if request is not None:
+                request.reply.refuse(CallerGone("caller gone while waiting"))
                 return
 
     @handle.register
     def _(self, msg: FirstEvent) -> None:
-        pool = self.pools.whole(msg.service)
-        pool.targets.first_event(msg.target, msg.call_id, msg.took_s)
-        self._want(msg.service, time.monotonic())
+        pool = self.pools.unsharded(msg.service)
+        pool.targets.record_first_event(msg.target, msg.call_id, msg.took_s)
+        self._schedule_grants(msg.service, time.monotonic())
 
     @handle.register
     def _(self, msg: Settled) -> None:
-        pool = self.pools.whole(msg.service)
+        pool = self.pools.unsharded(msg.service)
         now = time.monotonic()
         if msg.outcome is Outcome.TARGET_ENDED:
-            # Its router's own word to all others takes longer than the next copy of a request.
-            self.quarantine.note_ended(msg.digest, msg.target, now)
+            # Recorded here at once: the caller's next copy of the request may arrive before the
+            # crash report that the reporting router gossips to its peers.
+            self.quarantine.record_crash(msg.digest, msg.target, now)
         pool.settle(msg.target, msg.call_id, msg.outcome, now, msg.cost)
-        self._want(msg.service, now)
+        self._schedule_grants(msg.service, now)
 
-    def _want(self, service: ServiceName, now: float) -> None:
-        for pool in self.pools.of_service(service):
+    def _schedule_grants(self, service: ServiceName, now: float) -> None:
+        for pool in self.pools.for_service(service):
             if len(pool.queue):
-                self._rounds.want(pool, now)
+                self._grants.request_round(pool, now)
 
-    def _grant_all(self, pool: ServicePool, now: float) -> None:
-        for sent in pool.sends(now):
+    def _grant_ready(self, pool: ServicePool, now: float) -> None:
+        for sent in pool.dispatch_ready(now):
             self._grant(pool, sent, now)
-        metrics.QUEUED.set(sum(len(each.queue) for each in self.pools.all()))
+        metrics.QUEUED.set(sum(len(pool.queue) for pool in self.pools.all()))
 
-    def _grant(self, pool: ServicePool, sent: Sent, now: float) -> None:
-        item, placement = sent.item, sent.placement
+    def _grant(self, pool: ServicePool, sent: Dispatch, now: float) -> None:
+        request, placement = sent.pending, sent.placement
         granted = Granted(
             placement.load.info,
             placement.expected_s,
@@ -191,48 +195,48 @@
             fetch_from=placement.source.address if placement.source else "",
             backlog_s=pool.backlog_s(),
         )
-        if not item.reply.give(granted):
-            # The caller's thread stopped waiting at this very moment; a booking that nobody
-            # settles would make the target look busy for good.
-            pool.unbook(sent)
+        if not request.reply.give(granted):
+            # The caller's thread stopped waiting concurrently. A booking that is never settled
+            # would make the target look busy indefinitely.
+            pool.cancel_dispatch(sent)
 
     @handle.register
     def _(self, msg: Tick) -> None:
-        for pool in self.pools.wholes():
-            pool.targets.judge_slowness()
-            self._give_up_reads(pool, msg.now)
-            pool.drop_lost_calls(self.alive, msg.now)
+        for pool in self.pools.all_unsharded():
+            pool.targets.update_slowness()
+            self._expire_overdue_prefills(pool, msg.now)
+            pool.drop_lost_calls(self.live_routers, msg.now)
         for pool in self.pools.all():
-            for item in pool.expire(msg.now):
-                reason = _timeout_reason(item, pool, msg.now)
-                item.reply.refuse(QueueTimeout(reason, pool.expected_wait_s(item)))
+            for request in pool.expire(msg.now):
+                timeout_reason = _timeout_reason(request, pool, msg.now)
+                request.reply.refuse(QueueTimeout(timeout_reason, pool.expected_wait_s(request)))
             if len(pool.queue):
-                self._rounds.want(pool, msg.now)
+                self._grants.request_round(pool, msg.now)
         if not msg.is_late():
-            for hook in self.on_tick:
+            for hook in self.tick_hooks:
                 hook(msg.now)
-            self._tell_given(msg.now)
+            self._report_usage(msg.now)
         if self._gauges.is_due(msg.now):
-            self._gauges.tell(self.pools.of_engines(), msg.now)
+            self._gauges.report(self.pools.engine_pools(), msg.now)
 
-    def _tell_given(self, now: float) -> None:
-        """Tell the schedulers of other shards what teams were given and which wait here.
+    def _report_usage(self, now: float) -> None:
+        """Send per-team usage and the waiting teams to the schedulers of the other shards.
 
-        Messages among all routers bring that too late in a large fleet: a team that is served by
-        one shard would have its turn at each of the others as well.
+        Gossip alone is too slow for this in a large fleet: a team that one shard has just served
+        would be served at each of the other shards as well.
         """
-        if self.tell_given is None or not self.given.is_due(now):
+        if self.send_usage_report is None or not self.shard_usage_changes.is_due(now):
             return
-        for service, pools in self.pools.scheduled().items():
+        for service, pools in self.pools.shard_pools().items():
             waiting = sorted(set().union(*(pool.backlogged() for pool in pools.values())))
-            changed = self.given.take(self.ledger.told())
-            count = max(shard.count for shard in pools)
-            self.tell_given(
-                service, count, ServiceGiven(self.node, self.incarnation, changed, waiting)
+            changed = self.shard_usage_changes.take(self.ledger.local_counters())
+            shard_count = max(shard.count for shard in pools)
+            self.send_usage_report(
+                service, shard_count, ServiceGiven(self.node, self.incarnation, changed, waiting)
             )
 
-    def _give_up_reads(self, pool: ServicePool, now: float) -> None:
-        for target, read in pool.targets.give_up_reads(now):
+    def _expire_overdue_prefills(self, pool: ServicePool, now: float) -> None:
+        for target, read in pool.targets.expire_overdue_prefills(now):
             log_event(
                 "answer_lost",
                 target=target,
@@ -242,28 +246,28 @@
                 ahead_tokens=read.ahead_tokens,
             )
 
-    # -- the text and the targets ------------------------------------------------------------
+    # -- routing configuration and targets ---------------------------------------------------
 
     @handle.register
     def _(self, msg: TextArrived) -> None:
-        if not self.in_force.offer(msg.text):
+        if not self.in_force.offer(msg.config):
             return
-        text = msg.text
-        self._apply(text)
+        config = msg.config
+        self._apply_config(config)
         log_event(
             "text_in_force",
-            version=text.version,
+            version=config.version,
             source=msg.source,
-            routes=len(text.routes),
-            teams=len(text.teams),
+            routes=len(config.routes),
+            teams=len(config.teams),
         )
 
-    def _apply(self, text: RoutingText) -> None:
-        self.ledger.weights = {team.name: team.weight for team in text.teams}
-        for spec in text.services.values():
-            self.pools.whole(spec.name).targets.set_spec(spec, text.tokens_per_s)
-        self.in_force.shards = self.pools.divide()
-        metrics.CONFIG_VERSION.set(text.version)
+    def _apply_config(self, config: RoutingText) -> None:
+        self.ledger.weights = {team.name: team.weight for team in config.teams}
+        for spec in config.services.values():
+            self.pools.unsharded(spec.name).targets.set_spec(spec, config.tokens_per_s)
+        self.in_force.shards = self.pools.update_shards()
+        metrics.CONFIG_VERSION.set(config.version)
 
     @handle.register
     def _(self, msg: CaughtUp) -> None:
@@ -271,68 +275,68 @@
 
     @handle.register
     def _(self, msg: TargetsListed) -> None:
-        listed = {info.id for info in msg.targets}
-        for pool in self.pools.wholes():
-            for target in set(pool.targets.loads) - listed:
-                self._drop(pool, target)
+        listed_ids = {info.id for info in msg.targets}
+        for pool in self.pools.all_unsharded():
+            for target in set(pool.targets.loads) - listed_ids:
+                self._remove_target(pool, target)
         for info in msg.targets:
-            self._take(info)
+            self._update_target(info)
         self.in_force.targets_listed = True
-        self.in_force.shards = self.pools.divide()
-        self._want_all()
+        self.in_force.shards = self.pools.update_shards()
+        self._schedule_all_grants()
 
     @handle.register
     def _(self, msg: TargetsChanged) -> None:
         for target in msg.gone:
-            for pool in self.pools.wholes():
+            for pool in self.pools.all_unsharded():
                 if target in pool.targets.loads:
-                    self._drop(pool, target)
+                    self._remove_target(pool, target)
         for info in msg.changed:
-            self._take(info)
-        self.in_force.shards = self.pools.divide()
-        self._want_all()
+            self._update_target(info)
+        self.in_force.shards = self.pools.update_shards()
+        self._schedule_all_grants()
 
     @handle.register
     def _(self, msg: TargetLeaving) -> None:
-        self.pools.whole(msg.service).targets.mark_leaving(msg.target)
-        self._note_leaving(msg.target)
+        self.pools.unsharded(msg.service).targets.mark_leaving(msg.target)
+        self._mark_leaving(msg.target)
 
-    def _note_leaving(self, target: TargetId) -> None:
+    def _mark_leaving(self, target: TargetId) -> None:
         self.in_force.leaving = self.in_force.leaving | {target}
         self.in_force.announced = self.in_force.announced | {target}
 
-    def _take(self, info: TargetInfo) -> None:
-        for other in self.pools.wholes():
-            if other.name != info.service and info.id in other.targets.loads:
-                self._drop(other, info.id)
-        pool = self.pools.whole(info.service)
-        known = pool.targets.loads.get(info.id)
-        pool.targets.take(info)
-        if known is None or (
-            known.info.phase is TargetPhase.READY and info.phase is not TargetPhase.READY
+    def _update_target(self, info: TargetInfo) -> None:
+        for old_pool in self.pools.all_unsharded():
+            if old_pool.name != info.service and info.id in old_pool.targets.loads:
+                self._remove_target(old_pool, info.id)
+        pool = self.pools.unsharded(info.service)
+        previous = pool.targets.loads.get(info.id)
+        pool.targets.add_or_update(info)
+        if previous is None or (
+            previous.info.phase is TargetPhase.READY and info.phase is not TargetPhase.READY
         ):
             log_event("target", target=info.id, service=info.service, phase=info.phase.value)
-        self._note_phase(pool.targets.loads[info.id].info)
+        self._record_phase(pool.targets.loads[info.id].info)
 
-    def _note_phase(self, info: TargetInfo) -> None:
+    def _record_phase(self, info: TargetInfo) -> None:
         if info.phase is TargetPhase.READY:
             self.in_force.leaving = self.in_force.leaving - {info.id}
             self.in_force.announced = self.in_force.announced - {info.id}
         else:
-            self._note_leaving(info.id)
+            self._mark_leaving(info.id)
 
-    def _drop(self, pool: ServicePool, target: str) -> None:
-        # The entry of one that has crashed may be gone before the answers that it broke off: that
-        # announces nothing.
-        pool.targets.drop(target)
+    def _remove_target(self, pool: ServicePool, target: str) -> None:
+        # Not added to the announced targets: the entry of a crashed target may be removed before
+        # the answers that the crash interrupted have failed, so removal is no announcement.
+        pool.targets.remove(target)
         self.in_force.leaving = self.in_force.leaving | {TargetId(target)}
         log_event("target", target=target, service=pool.name, phase=TargetPhase.GONE.value)
 
-    def _want_all(self) -> None:
+    def _schedule_all_grants(self) -> None:
         now = time.monotonic()
         for pool in self.pools.all():
             if len(pool.queue):
-                self._rounds.want(pool, now)
+                self._grants.request_round(pool, now)
 
     # -- peers -------------------------------------------------------------------------------
 
@@ -340,64 +344,72 @@
     def _(self, msg: PeerHeard) -> None:
         summary, now = msg.summary, time.monotonic()
         node = NodeId(summary.node)
-        work = {w.target: PeerLoad(w.running, w.unread_tokens, now) for w in summary.work}
-        for pool in self.pools.wholes():
-            pool.targets.hear_peer(node, work)
+        target_work = {
+            w.target: PeerLoad(w.running, w.unread_tokens, now) for w in summary.target_work
+        }
+        for pool in self.pools.all_unsharded():
+            pool.targets.update_peer_load(node, target_work)
             for read in summary.reads:
-                pool.targets.note_peer_read(read.target, [Part(PartId(read.part), read.tokens)])
+                pool.targets.record_peer_read(
+                    read.target, [PromptPart(PartId(read.part), read.tokens)]
+                )
         self.ledger.merge(summary.node, summary.incarnation, summary.service)
         self.ledger.note_waiting(node, map(TeamId, summary.waiting))
-        self._want_all()
+        self._schedule_all_grants()
 
     @handle.register
     def _(self, msg: ServiceHeard) -> None:
-        given = msg.given
-        service = {TeamId(team): tokens for team, tokens in given.service.items()}
-        self.ledger.merge(given.scheduler, given.incarnation, service)
-        self.ledger.note_waiting(given.scheduler, map(TeamId, given.waiting))
+        report = msg.report
+        usage_by_team = {TeamId(team): tokens for team, tokens in report.service.items()}
+        self.ledger.merge(report.scheduler, report.incarnation, usage_by_team)
+        self.ledger.note_waiting(report.scheduler, map(TeamId, report.waiting))
 
     @handle.register
     def _(self, msg: KeptHeard) -> None:
-        for pool in self.pools.engines():
-            for target, parts in msg.kept.items():
-                pool.targets.note_listed(target, parts, msg.tell_peers)
-        self._want_all()
+        for pool in self.pools.unsharded_engine_pools():
+            for target, parts in msg.cached.items():
+                pool.targets.record_cached(target, parts, msg.announce_to_peers)
+        self._schedule_all_grants()
 
     @handle.register
-    def _(self, msg: KeptQuery) -> KeptParts:
+    def _(self, msg: KeptQuery) -> CachedParts:
         return {
-            target: load.kept.parts()
-            for pool in self.pools.engines()
+            target: load.prefix_cache.parts()
+            for pool in self.pools.unsharded_engine_pools()
             for target, load in pool.targets.loads.items()
         }
 
     @handle.register
     def _(self, msg: EnginesQuery) -> list[TargetInfo]:
-        return [load.info for pool in self.pools.engines() for load in pool.targets.loads.values()]
+        return [
+            load.info
+            for pool in self.pools.unsharded_engine_pools()
+            for load in pool.targets.loads.values()
+        ]
 
     @handle.register
     def _(self, msg: RepeatLimits) -> None:
-        self.repeats = msg
-        for pool in self.pools.wholes():
+        self.retry_limits = msg
+        for pool in self.pools.all_unsharded():
             pool.budget.set_limits(msg.ratio, msg.floor, msg.window_s)
 
     @handle.register
     def _(self, msg: RoutersAlive) -> None:
-        self.routers = len(msg.nodes)
-        self.alive = msg.nodes
-        for pool in self.pools.wholes():
+        self.fleet_size = len(msg.nodes)
+        self.live_routers = msg.nodes
+        for pool in self.pools.all_unsharded():
             self._set_fleet_size(pool)
 
     def _set_fleet_size(self, pool: ServicePool) -> None:
-        pool.routers = self.routers
-        # The part of the shared floor only shrinks: routers that are cut off from here may live
-        # on and spend theirs.
-        pool.budget.routers = max(pool.budget.routers, self.routers)
+        pool.router_count = self.fleet_size
+        # This router's fraction of the shared floor only shrinks: routers that look gone may be
+        # partitioned from here and still spend their fractions.
+        pool.budget.router_count = max(pool.budget.router_count, self.fleet_size)
 
     @handle.register
     def _(self, msg: OnTick) -> None:
-        self.on_tick = msg.hooks
-        self.tell_given = msg.tell_given
+        self.tick_hooks = msg.hooks
+        self.send_usage_report = msg.send_usage_report
 
     @handle.register
     def _(self, msg: SummaryQuery) -> RouterSummary:
@@ -405,24 +417,24 @@
             node=self.node,
             incarnation=self.incarnation,
             text_version=self.in_force.version,
-            work=self._own_work(),
-            service=self.summarised.take(self.ledger.told()),
+            target_work=self._local_work(),
+            service=self.gossip_usage_changes.take(self.ledger.local_counters()),
             waiting=sorted({team for pool in self.pools.all() for team in pool.backlogged()}),
-            reads=self._take_reads(),
+            reads=self._collect_reads(),
             caught_up=self.in_force.caught_up,
         )
 
-    def _take_reads(self) -> list[PartRead]:
+    def _collect_reads(self) -> list[PartRead]:
         reads = {}
-        for pool in self.pools.wholes():
-            for target, parts in pool.targets.take_reads():
+        for pool in self.pools.all_unsharded():
+            for target, parts in pool.targets.take_unreported_reads():
                 reads.update({(target, part.part_id): part.tokens for part in parts})
         return [PartRead(target, part, tokens) for (target, part), tokens in reads.items()]
 
-    def _own_work(self) -> list[TargetWork]:
+    def _local_work(self) -> list[TargetWork]:
         return [
-            TargetWork(load.info.id, load.running, load.own_unread_tokens())
-            for pool in self.pools.wholes()
+            TargetWork(load.info.id, load.running, load.local_unread_tokens())
+            for pool in self.pools.all_unsharded()
             for load in pool.targets.loads.values()
             if load.running
         ]
@@ -433,31 +445,31 @@
         return {
             "node": self.node,
             "text_version": self.in_force.version,
-            "routers": self.routers,
-            "services": {pool.name: pool.describe(now) for pool in self.pools.wholes()},
+            "routers": self.fleet_size,
+            "services": {pool.name: pool.describe(now) for pool in self.pools.all_unsharded()},
         }
 
     def _is_suspect(self, digest: RequestDigest) -> bool:
-        return self.quarantine.endings(digest, time.monotonic()) > 0
+        return self.quarantine.crash_count(digest, time.monotonic()) > 0
 
     def _make_pool(self, service: ServiceName) -> ServicePool:
-        limits = self.repeats
+        limits = self.retry_limits
         budget = RetryBudget(limits.ratio, limits.floor, limits.window_s)
         pool = ServicePool(service, self.zone, self.ledger, budget, is_suspect=self._is_suspect)
         self._set_fleet_size(pool)
-        text = self.in_force.current
-        if text is not None and service in text.services:
-            pool.targets.set_spec(text.services[service], text.tokens_per_s)
+        config = self.in_force.current
+        if config is not None and service in config.services:
+            pool.targets.set_spec(config.services[service], config.tokens_per_s)
         return pool
 
 
-def _timeout_reason(item: Pending, pool: ServicePool, now: float) -> str:
-    """Why a request was not granted in time, for the log."""
-    waited_for = item.context.waited_for
+def _timeout_reason(request: PendingRequest, pool: ServicePool, now: float) -> str:
+    """Describe for the log why a request's queue wait timed out."""
+    waited_for = request.context.last_reserved_target
     if waited_for is None:
-        return f"queue_timeout: {len(pool.queue)} others wait"
+        return f"queue_timeout: {len(pool.queue)} other requests pending"
     overdue_ms = round(waited_for.overdue_s(now) * 1000)
     return (
-        f"queue_timeout: {len(pool.queue)} others wait, "
-        f"for {waited_for.info.id} overdue {overdue_ms} ms"
+        f"queue_timeout: {len(pool.queue)} other requests pending; "
+        f"waited for {waited_for.info.id}, which is {overdue_ms} ms overdue"
     )
--- a/turmerictray/router/broker_messages.py
+++ b/turmerictray/router/broker_messages.py
@@ -1,4 +1,4 @@
-"""Messages to the broker, the actor that owns the pools."""
+"""Messages to the broker, the actor that owns the target pools."""
 
 import math
 from collections.abc import Callable
@@ -18,42 +18,42 @@
 from turmerictray.core.reply import Reply
 from turmerictray.membership.messages import RouterSummary
 from turmerictray.routing.load import TargetInfo
-from turmerictray.routing.prompt import Part, Prompt
+from turmerictray.routing.prompt import Prompt, PromptPart
 from turmerictray.scheduling.messages import ServiceGiven
-from turmerictray.scheduling.shards import WHOLE, ShardId
+from turmerictray.scheduling.shards import UNSHARDED, ShardId
 
-KeptParts = dict[TargetId, list[Part]]
-"""Parts of prompts that engines keep, by engine, least recently used first."""
+CachedParts = dict[TargetId, list[PromptPart]]
+"""Cached prompt parts by engine, least recently used first."""
 
 
 @dataclass(frozen=True)
 class Ask:
-    """A request asks for a target.
+    """A request that needs a target.
 
     Attributes
     ----------
     call_id : int
         Unique in this process.
-    wait_until : float
-        Monotonic seconds until which it may wait.
+    queue_deadline : float
+        Monotonic time in seconds until which the request may stay queued.
     cost : float
-        What it takes from the pool, in tokens read.
+        Load that the request puts on the pool, in tokens that engines read (prefill).
     exclude : frozenset of str
-        Targets it has been sent to.
+        Targets that the request has already been sent to.
     retry : bool
-        It has been granted a target before; it goes to the head of its team's queue.
+        The request was granted a target before; it goes to the head of its team's queue.
     repeat : bool
-        An earlier send reached a target, so this one spends from the budget of repeats.
+        An earlier attempt reached a target, so this one is charged to the retry budget.
     origin : NodeId
-        The router that sends it; empty for this router.
+        The router that sends the request to the target; empty for this router.
     zone : ZoneId or None
-        Where that router stands; None for this router's own.
-    give_up : float
-        Monotonic seconds at which it ends at the latest.
+        Zone of the origin router; None for this router's zone.
+    answer_deadline : float
+        The request's deadline, in monotonic seconds.
     shard : ShardId
-        The engines that it may be sent to.
+        Shard of engines that the request may be sent to.
     digest : RequestDigest
-        See :mod:`turmerictray.admission.digest`.
+        Digest of the request's content; see :mod:`turmerictray.admission.digest`.
     reply : Reply
         Receives a :class:`Granted` or an :class:`~turmerictray.core.errors.AdmissionError`.
     """
@@ -64,35 +64,35 @@
     service: ServiceName
     cost: float
     prompt: Prompt | None
-    wait_until: float
+    queue_deadline: float
     reply: Reply
     exclude: frozenset[str] = frozenset()
     retry: bool = False
     repeat: bool = False
     origin: NodeId = NodeId("")
     zone: ZoneId | None = None
-    give_up: float = math.inf
-    shard: ShardId = WHOLE
+    answer_deadline: float = math.inf
+    shard: ShardId = UNSHARDED
     digest: RequestDigest = RequestDigest("")
 
 
 @dataclass(frozen=True)
 class Granted:
-    """The target to send to.
+    """The target assigned to a request.
 
     Attributes
     ----------
     target : TargetInfo
     expected_s : float
-        Seconds from now until its first event, as estimated.
+        Estimated seconds from now until the first event of the answer.
     miss_tokens, ahead_tokens : int
-        Tokens the target has to read for the request, and before it.
+        Tokens that the target has to read for this request, and for requests ahead of it.
     scheduler : str
-        The router that chose; empty for this one.
+        The router that chose the target; empty for this router.
     fetch_from : str
-        ``host:port`` of the engine from which the target is to fetch kept parts; empty for none.
+        ``host:port`` of the engine from which the target fetches cached parts; empty for none.
     backlog_s : float
-        Seconds until all that waits there has been sent.
+        Estimated seconds until all requests in the granting pool's queue have been sent.
     """
 
     target: TargetInfo
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True)
 class Withdraw:
-    """The caller of a waiting request is gone."""
+    """The caller of a queued request has disconnected."""
 
     call_id: int
     service: ServiceName
@@ -114,7 +114,7 @@
 
 @dataclass(frozen=True)
 class FirstEvent:
-    """An answer's first event came ``took_s`` seconds after the request was sent."""
+    """The first event of an answer arrived ``took_s`` seconds after the request was sent."""
 
     call_id: int
     service: ServiceName
@@ -124,9 +124,9 @@
 
 @dataclass(frozen=True)
 class Settled:
-    """A send has ended; ``cost`` is what it took from the pool, in tokens read.
+    """An attempt has ended; ``cost`` is the load that it put on the pool (see :class:`Ask`).
 
-    ``digest`` tells the request when its target has ended under it.
+    ``digest`` identifies the request if the target crashed while running it.
     """
 
     call_id: int
@@ -139,7 +139,7 @@
 
 @dataclass(frozen=True)
 class TargetLeaving:
-    """A target's own answer says that it is leaving."""
+    """A target has announced in an answer that it is leaving."""
 
     service: ServiceName
     target: TargetId
@@ -147,28 +147,28 @@
 
 @dataclass(frozen=True)
 class TextArrived:
-    """A routing text was read; it takes force if its version is newer.
+    """A routing configuration was read; it takes effect if its version is newer.
 
     Attributes
     ----------
     source : str
-        Where it came from, for the log.
+        Where the configuration was read from, for the log.
     """
 
-    text: RoutingText
+    config: RoutingText
     source: str
 
 
 @dataclass(frozen=True)
 class TargetsListed:
-    """The whole list of targets: what is not in it is gone."""
+    """The complete list of targets; any target that it lacks is gone."""
 
     targets: list[TargetInfo]
 
 
 @dataclass(frozen=True)
 class TargetsChanged:
-    """Targets whose entries changed, and targets whose entries are gone."""
+    """Targets whose entries changed, and targets whose entries were removed."""
 
     changed: list[TargetInfo] = field(default_factory=list)
     gone: list[TargetId] = field(default_factory=list)
@@ -176,61 +176,76 @@
 
 @dataclass(frozen=True)
 class PeerHeard:
-    """A peer's summary of its own work."""
+    """A peer's gossiped summary of its own work."""
 
     summary: RouterSummary
 
 
 @dataclass(frozen=True)
 class ServiceHeard:
-    """What teams were given, and which wait, at the scheduler of another shard."""
+    """Per-team usage and waiting teams reported by the scheduler of another shard."""
 
-    given: ServiceGiven
+    report: ServiceGiven
 
 
 @dataclass(frozen=True)
 class KeptHeard:
-    """What engines keep, as they or a peer say; peers don't know of it if ``tell_peers``."""
+    """Cached prompt parts reported by engines or a peer.
 
-    kept: KeptParts
-    tell_peers: bool
+    ``announce_to_peers`` is true if peers don't know of these parts yet.
+    """
+
+    cached: CachedParts
+    announce_to_peers: bool
 
 
 @dataclass(frozen=True)
 class KeptQuery:
-    """Ask for what the engines are believed to keep, as :data:`KeptParts`."""
+    """Query for the prompt parts that each engine is assumed to cache, as :data:`CachedParts`."""
 
 
 @dataclass(frozen=True)
 class EnginesQuery:
-    """Ask for the engines that are known, as a list of :class:`TargetInfo`."""
+    """Query for the known engines, as a list of :class:`TargetInfo`."""
 
 
 @dataclass(frozen=True)
 class RoutersAlive:
-    """The routers that are believed alive, this one included."""
+    """The routers considered alive, including this router."""
 
     nodes: frozenset[str]
 
 
 @dataclass(frozen=True)
 class CaughtUp:
-    """This router knows as much as its peers; sent after what it has learnt from them."""
+    """This router's state is as recent as its peers'.
+
+    Sent after the messages that carry the state fetched from them.
+    """
 
 
 @dataclass(frozen=True)
 class OnTick:
-    """Functions to call with each tick, given its time, and who hears what shards were given."""
+    """Callbacks that the broker runs on its ticks.
+
+    Attributes
+    ----------
+    hooks : tuple of callable
+        Called with the time of each tick.
+    send_usage_report : callable or None
+        Sends the usage of a service's teams to the schedulers of its other shards; called with the
+        service, its shard count and the report.
+    """
 
     hooks: tuple[Callable[[float], None], ...]
-    tell_given: Callable[[ServiceName, int, ServiceGiven], None] | None = None
+    send_usage_report: Callable[[ServiceName, int, ServiceGiven], None] | None = None
 
 
 @dataclass(frozen=True)
 class SummaryQuery:
-    """Ask for this router's own :class:`RouterSummary`."""
+    """Query for this router's own :class:`RouterSummary`."""
 
 
 @dataclass(frozen=True)
 class BrokerQuery:
-    """Ask for the broker's state, for operators."""
+    """Query for the broker's state, for operators."""
--- a/turmerictray/router/catch_up.py
+++ b/turmerictray/router/catch_up.py
@@ -1,4 +1,4 @@
-"""Takes from peers what a router has not read from the platform's store itself."""
+"""Retrieval from peers of published documents that this router has not read from the store."""
 
 import time
 from collections.abc import Callable
@@ -12,76 +12,78 @@
 from turmerictray.router.broker_messages import RoutersAlive
 from turmerictray.router.published import PeerDocs, Position, PublishedDocs, StorePosition
 from turmerictray.router.readers import StoreReaders
-from turmerictray.router.start_check import StartCheck, StartEnd
+from turmerictray.router.startup_check import StartupCheck, StartupResult
 
-_OWN_READ_S = 0.4
-"""A router that reads the store waits this long for its own read before it asks a peer: in a
-healthy deployment its own watch brings a new text within milliseconds of a peer's, and asking would
-only double the reads."""
+_LOCAL_READ_GRACE_S = 0.4
+"""A router that reads the store waits this long for its own read before it asks a peer. In a
+healthy deployment its own watch delivers a new configuration within milliseconds of a peer's, so
+asking would only double the reads."""
 
-_BETWEEN_S = 0.3
+_MIN_FETCH_INTERVAL_S = 0.3
+"""Minimum time between two fetches from peers."""
 
-TakeDocs = Callable[[PublishedDocs, str], None]
-"""Takes a peer's documents and the peer's name."""
+ApplyDocs = Callable[[PublishedDocs, str], None]
+"""Applies a peer's documents; called with the documents and the peer's name."""
 
 
-class Lag:
-    """Decides when a router that is behind its peers asks one of them.
+class LagTracker:
+    """Tracks how long this router has been behind its peers and decides when to ask one.
 
-    A message from a peer that is as far behind says nothing against it: after an outage most of
-    the fleet is, and the one router that knows better must be enough.
+    A message from a peer that is equally far behind does not reset the wait: after an outage most
+    of the fleet is behind, and a single up-to-date router must suffice.
     """
 
     def __init__(self) -> None:
         self._behind_since: float | None = None
         self._newest = Position()
-        self._next_at = 0.0
+        self._next_fetch_at = 0.0
 
-    def should_ask(self, peer: Position, own: Position, reads: bool, now: float) -> bool:
-        """Whether to ask the peer whose message has just come.
+    def should_ask(self, peer: Position, local: Position, reads_store: bool, now: float) -> bool:
+        """Decide whether to ask the peer whose message has just arrived.
 
         Parameters
         ----------
-        peer, own : Position
-        reads : bool
-            This router reads the store, so its own read is likely on its way.
+        peer, local : Position
+            How far the peer and this router have read.
+        reads_store : bool
+            This router reads the store, so its own read is probably in progress.
         """
-        if self._behind_since is not None and not own.is_behind(self._newest):
+        if self._behind_since is not None and not local.is_behind(self._newest):
             self._behind_since = None
-        if not own.is_behind(peer):
+        if not local.is_behind(peer):
             return False
         if self._behind_since is None:
             self._behind_since = now
             self._newest = Position()
         self._newest = self._newest.merge(peer)
-        grace = _OWN_READ_S if reads else 0.0
-        if now - self._behind_since < grace or now < self._next_at:
+        grace_s = _LOCAL_READ_GRACE_S if reads_store else 0.0
+        if now - self._behind_since < grace_s or now < self._next_fetch_at:
             return False
-        self._next_at = now + _BETWEEN_S
+        self._next_fetch_at = now + _MIN_FETCH_INTERVAL_S
         return True
 
 
 @dataclass(frozen=True)
-class LookAtStart:
-    """Time has passed in which the router may have caught up."""
+class CheckStartup:
+    """Triggers a check whether the router has caught up after its start."""
 
 
 class CatchUp(VitalActor):
-    """Compares peers' positions with this router's own and fetches what it lacks.
+    """Compares peers' store positions with this router's and fetches newer documents from them.
 
-    A router that the store turns away would go on with withdrawn keys and old routes although the
-    router beside it knows better; one that starts while the store is away would serve nothing.
-    After a start the router serves callers only once it has caught up.
+    Without this, a router that the store rejects would keep serving revoked keys and old routes
+    although its peers have newer ones, and a router that starts while the store is down could serve
+    nothing. After a start the router serves callers only once it has caught up.
 
     Parameters
     ----------
     position : callable
-        How far this router has read.
+        Returns how far this router has read.
     readers : StoreReaders
-    take : callable
-        Takes a peer's documents.
-    start : StartCheck
-    note_caught_up : callable
+    apply_docs : callable
+        Applies a peer's documents.
+    startup_check : StartupCheck
+    on_caught_up : callable
         Called once, when the router has caught up after its start.
     """
 
@@ -89,18 +91,18 @@
         self,
         position: Callable[[], Position],
         readers: StoreReaders,
-        take: TakeDocs,
-        start: StartCheck,
-        note_caught_up: Callable[[], None],
+        apply_docs: ApplyDocs,
+        startup_check: StartupCheck,
+        on_caught_up: Callable[[], None],
     ) -> None:
         super().__init__()
         self._position = position
         self._readers = readers
-        self._take = take
-        self._start: StartCheck | None = start
-        self._note_caught_up = note_caught_up
+        self._apply_docs = apply_docs
+        self._startup_check: StartupCheck | None = startup_check
+        self._on_caught_up = on_caught_up
         self._peer_docs = PeerDocs()
-        self._lag = Lag()
+        self._lag = LagTracker()
 
     @singledispatchmethod
     def on_receive(self, message: object) -> None:
@@ -108,54 +110,54 @@
 
     @on_receive.register
     def _(self, message: PeerMessage) -> None:
-        peer, own = position_of(message.summary), self._position()
+        peer, local = position_of_summary(message.summary), self._position()
         now = time.monotonic()
-        # A router that may not serve yet has no time to wait for its own read.
-        waits_for_read = self._start is None and self._readers.is_chosen()
-        if self._lag.should_ask(peer, own, waits_for_read, now):
+        # A router that may not serve yet fetches at once instead of waiting for its own read.
+        waits_for_read = self._startup_check is None and self._readers.is_chosen()
+        if self._lag.should_ask(peer, local, waits_for_read, now):
             self._fetch(message)
-            own = self._position()
-        if not own.is_behind(peer) and not peer.is_behind(own):
+            local = self._position()
+        if not local.is_behind(peer) and not peer.is_behind(local):
             self._readers.note_peer(message.summary.store_age_s)
-        if self._start is not None:
-            self._start.hear(message.sender.node, peer, message.summary.caught_up)
-            self._look_at_start()
+        if self._startup_check is not None:
+            self._startup_check.record_peer(message.sender.node, peer, message.summary.caught_up)
+            self._check_startup()
 
     @on_receive.register
     def _(self, message: RoutersAlive) -> None:
-        if self._start is not None:
-            self._start.take_members(message.nodes)
+        if self._startup_check is not None:
+            self._startup_check.set_members(message.nodes)
 
     @on_receive.register
-    def _(self, message: LookAtStart) -> None:
-        self._look_at_start()
+    def _(self, message: CheckStartup) -> None:
+        self._check_startup()
 
-    def _look_at_start(self) -> None:
-        if self._start is None:
+    def _check_startup(self) -> None:
+        if self._startup_check is None:
             return
-        own = self._position()
-        end = self._start.end(own, time.monotonic())
-        if end is None:
+        local = self._position()
+        result = self._startup_check.result(local, time.monotonic())
+        if result is None:
             return
-        self._start = None
-        self._note_caught_up()
+        self._startup_check = None
+        self._on_caught_up()
         log_event(
             "caught_up",
-            level="INFO" if end is StartEnd.PEER else "WARNING",
-            by=end.value,
-            text_version=own.text_version,
-            targets_revision=own.targets.revision,
+            level="INFO" if result is StartupResult.PEER else "WARNING",
+            by=result.value,
+            text_version=local.text_version,
+            targets_revision=local.targets.revision,
         )
 
     def _fetch(self, message: PeerMessage) -> None:
         peer = message.sender.node
         try:
-            self._take(self._peer_docs.fetch(message.admin), peer)
+            self._apply_docs(self._peer_docs.fetch(message.admin), peer)
         except PeerError as exc:
             log_event("catch_up_failed", level="WARNING", peer=peer, reason=str(exc)[:200])
 
 
-def position_of(summary: RouterSummary) -> Position:
-    """How far a peer has read."""
+def position_of_summary(summary: RouterSummary) -> Position:
+    """Return how far a peer has read, by its summary."""
     targets = StorePosition(summary.targets_era, summary.targets_revision)
     return Position(summary.text_version, targets)
--- a/turmerictray/router/crash_evidence.py
+++ b/turmerictray/router/crash_evidence.py
@@ -1,4 +1,4 @@
-"""What the requests of this router tell of targets that end, and what they are told of it."""
+"""Evidence from broken connections on requests that crash their targets."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -7,31 +7,32 @@
 from turmerictray.admission.quarantine import Quarantine
 from turmerictray.core.errors import ConnectionBroken, TurmerictrayError
 from turmerictray.core.ids import RequestDigest, TargetId
-from turmerictray.routing.load import BEGINNING_S, TargetInfo
+from turmerictray.routing.load import CRASH_ATTRIBUTION_S, TargetInfo
 from turmerictray.transport.ended import EndedTargets
 
 
-def _none() -> frozenset[TargetId]:
+def _no_targets() -> frozenset[TargetId]:
     return frozenset()
 
 
 @dataclass(frozen=True)
 class CrashEvidence:
-    """Turns broken connections into evidence against requests.
+    """Records target crashes against the requests that they interrupted.
 
     Attributes
     ----------
     quarantine : Quarantine
-    targets : EndedTargets
+    ended_targets : EndedTargets
     leaving : callable
-        The targets that have announced that they leave; their end speaks against nobody.
+        Returns the targets that have announced that they are leaving; their end is not counted
+        against any request.
     """
 
     quarantine: Quarantine = field(default_factory=Quarantine)
-    targets: EndedTargets = field(default_factory=EndedTargets)
-    leaving: Callable[[], frozenset[TargetId]] = _none
+    ended_targets: EndedTargets = field(default_factory=EndedTargets)
+    leaving: Callable[[], frozenset[TargetId]] = _no_targets
 
-    def note_broken(
+    def record_if_crash(
         self,
         digest: RequestDigest,
         target: TargetInfo,
@@ -39,26 +40,39 @@
         ran_s: float,
         now: float,
     ) -> bool:
-        """A try has ended without a whole answer; whether its target has ended under it.
+        """Check whether an incomplete answer was caused by a target crash, and record the crash.
 
         Parameters
         ----------
         ran_s : float
-            Seconds since the run's first event; 0 before it.
+            Seconds since the first event of the answer; 0 before it.
+
+        Returns
+        -------
+        bool
+            True if the target crashed and the crash counts against the request.
         """
-        if not isinstance(exc, ConnectionBroken) or ran_s > BEGINNING_S:
+        if not isinstance(exc, ConnectionBroken) or ran_s > CRASH_ATTRIBUTION_S:
             return False
-        if target.id in self.leaving() or not self.targets.has_ended(target.id, target.address):
+        if target.id in self.leaving() or not self.ended_targets.has_ended(
+            target.id, target.address
+        ):
             return False
-        self.quarantine.note_ended(digest, target.id, now)
+        self.quarantine.record_crash(digest, target.id, now)
         return True
 
     @contextmanager
     def running(self, digest: RequestDigest, now: float) -> Iterator[None]:
-        """A request runs at a target; raises :class:`Quarantined` if it must not."""
-        counted = self.quarantine.begin(digest, now)
+        """Count a request as running for the duration of a ``with`` block.
+
+        Raises
+        ------
+        Quarantined
+            The request must not run now.
+        """
+        counted = self.quarantine.begin_run(digest, now)
         try:
             yield
         finally:
             if counted:
-                self.quarantine.end(digest)
+                self.quarantine.end_run(digest)
--- a/turmerictray/router/daemon.py
+++ b/turmerictray/router/daemon.py
@@ -1,8 +1,8 @@
-"""The router daemon: builds the router's parts under one application object.
+"""The router daemon: creates the router's components and runs them as one application.
 
 Run as ``turmerictrayd SETTINGS.json`` or ``turmerictray serve SETTINGS.json``. SIGTERM starts a
-graceful shutdown: new requests are refused with ``Retry-After``, accepted ones run to their
-end, then the process exits 0.
+graceful shutdown: new requests are refused with ``Retry-After``, accepted requests run to
+completion, and the process exits with status 0.
 """
 
 import sys
@@ -22,8 +22,8 @@
 from turmerictray.core.member import Member
 from turmerictray.core.timer import TimerService
 from turmerictray.orders.guard import OrderGuard
-from turmerictray.orders.home import ClaimHome
 from turmerictray.orders.link import HomeLink
+from turmerictray.orders.replica import ClaimHome
 from turmerictray.placement.engine import EngineClient
 from turmerictray.placement.placer import Placer
 from turmerictray.router.dispatcher import Dispatcher
@@ -38,14 +38,14 @@
 from turmerictray.router.watch_instances import InstancePoller
 from turmerictray.router.watch_load import LoadPoller
 
-_EXPIRE_TICK_S = 0.1
-_DRAIN_POLL_S = 0.1
-_CLAIMS_TICK_S = 0.5
-_ACTORS_STOP_S = 5.0
+_EXPIRY_INTERVAL_S = 0.1
+_DRAIN_POLL_INTERVAL_S = 0.1
+_CLAIMS_INTERVAL_S = 0.5
+_ACTORS_STOP_TIMEOUT_S = 5.0
 
 
-class _Actors:
-    """Starts and stops the router's actors as one component."""
+class _ActorsComponent:
+    """The router's actors as one application component."""
 
     def __init__(self, router: "Router") -> None:
         self.router = router
@@ -54,11 +54,11 @@
         self.router.start_actors()
 
     def stop(self) -> None:
-        stop_actors(_ACTORS_STOP_S)
+        stop_actors(_ACTORS_STOP_TIMEOUT_S)
 
 
 class Router:
-    """One entry instance.
+    """One router process (entry instance) with all its components.
 
     Parameters
     ----------
@@ -77,15 +77,15 @@
         self.http: HttpServer | None = None
         self.front: Front | None = None
         self._draining = threading.Lock()
-        # Started in this order and stopped in reverse: the front stops first, so no caller
-        # is cut by the actors stopping under it.
+        # Components start in this order and stop in reverse. The front stops before the actors
+        # that serve its requests, so that no request in progress loses its connection.
         self.app.add(self.timer)
-        self.app.add(_Actors(self))
-        self.app.add(_Front(self))
+        self.app.add(_ActorsComponent(self))
+        self.app.add(_FrontComponent(self))
         self.app.on_signal(self.drain_and_stop)
 
     def start_actors(self) -> None:
-        """Start the dispatcher, watchers and peer link and subscribe them to the timer."""
+        """Start all actors and subscribe the periodic ones to the timer."""
         s = self.settings
         self.dispatcher = Dispatcher.start(
             NodeId(s.node),
@@ -94,16 +94,16 @@
             assertions=s.assertions,
             peer_timeout_s=s.peer_timeout_s,
             expected_peers=frozenset(peer.node for peer in s.peers),
-            places=s.threads,
+            front_capacity=s.threads,
         )
-        self._bootstrap()
+        self._apply_bootstrap_config()
         members = self._members()
         placer = Placer.start(
             NodeId(s.node), members, self.snapshot, EngineClient(), s.peer_timeout_s
         )
         self.timer.subscribe(placer, "placement", s.placement_poll_s)
         watcher = ConfigWatcher.start(s.config_url, self.dispatcher, placer, s.watch_wait_s)
-        self.timer.subscribe(self.dispatcher, "expire", _EXPIRE_TICK_S)
+        self.timer.subscribe(self.dispatcher, "expire", _EXPIRY_INTERVAL_S)
         if s.instances_url:
             poller = InstancePoller.start(s.instances_url, [self.dispatcher, placer])
             self.timer.subscribe(poller, "instances", s.instances_poll_s)
@@ -121,27 +121,27 @@
             url=s.advertise_url or f"http://{s.listen.host}:{s.listen.port}",
         )
         self.timer.subscribe(link, "heartbeat", s.heartbeat_s)
-        self.guard = self._start_guard(members)
+        self.guard = self._start_order_guard(members)
 
     def _members(self) -> list[Member]:
         s = self.settings
         members = [Member(NodeId(s.node), ZoneId(s.zone))]
         return members + [Member(NodeId(peer.node), ZoneId(peer.zone)) for peer in s.peers]
 
-    def _start_guard(self, members: list[Member]) -> OrderGuard:
+    def _start_order_guard(self, members: list[Member]) -> OrderGuard:
         s = self.settings
         node = NodeId(s.node)
-        home = ClaimHome.start(node, members, s.claims_listen, self.snapshot)
-        self.timer.subscribe(home, "claims", _CLAIMS_TICK_S)
-        homes = {node: home}
+        replica = ClaimHome.start(node, members, s.claims_listen, self.snapshot)
+        self.timer.subscribe(replica, "claims", _CLAIMS_INTERVAL_S)
+        replicas = {node: replica}
         for peer in s.peers:
-            link = HomeLink.start(node, NodeId(peer.node), peer.claims, home)
-            self.timer.subscribe(link, "claims", _CLAIMS_TICK_S)
-            homes[NodeId(peer.node)] = link
-        return OrderGuard(node, members, homes)
+            link = HomeLink.start(node, NodeId(peer.node), peer.claims, replica)
+            self.timer.subscribe(link, "claims", _CLAIMS_INTERVAL_S)
+            replicas[NodeId(peer.node)] = link
+        return OrderGuard(node, members, replicas)
 
     def start_front(self) -> None:
-        """Open the HTTP front once the dispatcher it talks to is running."""
+        """Start the HTTP front; the actors that it sends requests to must be running."""
         s = self.settings
         proxy = Proxy(self.dispatcher, self.upstream, self.guard, s.node)
         self.front = Front(self.dispatcher, proxy, self.snapshot, self.drain_and_stop)
@@ -155,20 +155,23 @@
         )
         self.http.start()
 
-    def _bootstrap(self) -> None:
+    def _apply_bootstrap_config(self) -> None:
         path = self.settings.bootstrap_config
         if not path:
             return
         try:
-            with open(path, "rb") as fh:
-                cfg = parse_config(fh.read())
+            with open(path, "rb") as file:
+                cfg = parse_config(file.read())
         except (OSError, ConfigError) as exc:
             log_event("bootstrap_config_refused", level="WARNING", path=path, reason=str(exc))
             return
         self.dispatcher.tell(ConfigApplied(cfg))
 
     def drain_and_stop(self) -> None:
-        """Refuse new requests, wait for accepted ones (at most ``drain_timeout_s``), stop."""
+        """Refuse new requests, wait up to ``drain_timeout_s`` for accepted ones, then stop.
+
+        Only the first call has an effect.
+        """
         if not self._draining.acquire(blocking=False):
             return
         if self.front is not None:
@@ -179,23 +182,23 @@
         self.app.request_stop()
 
     def _wait_idle(self, deadline: float) -> RouterStatus:
-        # A request between two tries is neither queued nor in flight for a moment; stopping
-        # then would cut it, so the router must be found idle twice in a row.
-        idle = 0
+        # Between two attempts a request is briefly neither queued nor in flight. Stopping at that
+        # moment would abort it, so two consecutive polls must find the router idle.
+        idle_polls = 0
         while True:
             state = self.dispatcher.ask(StatusQuery(), timeout=5)
-            idle = idle + 1 if state.inflight == 0 and state.queued == 0 else 0
-            if idle == 2 or time.monotonic() >= deadline:
+            idle_polls = idle_polls + 1 if state.inflight == 0 and state.queued == 0 else 0
+            if idle_polls == 2 or time.monotonic() >= deadline:
                 return state
-            time.sleep(_DRAIN_POLL_S)
+            time.sleep(_DRAIN_POLL_INTERVAL_S)
 
     def run(self) -> int:
-        """Run until stopped; returns the process exit code."""
+        """Run until stopped and return the process's exit status."""
         return self.app.run()
 
 
-class _Front:
-    """The HTTP front as a component of the application."""
+class _FrontComponent:
+    """The HTTP front as an application component."""
 
     def __init__(self, router: Router) -> None:
         self.router = router
@@ -209,7 +212,18 @@
 
 
 def run_router(settings_path: str) -> int:
-    """Load settings and run a router; returns the exit code (2 for refused settings)."""
+    """Load the settings and run a router.
+
+    Parameters
+    ----------
+    settings_path : str
+        JSON file with the router's settings.
+
+    Returns
+    -------
+    int
+        Exit status of the process: 2 if the settings are invalid.
+    """
     try:
         settings = load_settings(settings_path, RouterSettings)
     except SettingsError as exc:
@@ -220,7 +234,7 @@
 
 
 def main() -> None:
-    """Entry point of ``turmerictrayd``."""
+    """Run the ``turmerictrayd`` command."""
     if len(sys.argv) != 2:
         print("usage: turmerictrayd SETTINGS.json", file=sys.stderr)
         sys.exit(2)
