--- a/turmerictray/routing/target.py
+++ b/turmerictray/routing/target.py
@@ -1,4 +1,4 @@
-"""One target as a router sees it."""
+"""State of one target, as seen by one router."""
 
 import time
 from collections import deque
@@ -7,16 +7,15 @@
 
 from turmerictray.core.ids import ServiceName, TargetId
 
-_HISTORY = 256
-"""Changes of in-flight count kept per target; at 100 a second, 2.5 s of history."""
+_HISTORY_LENGTH = 256
+"""Changes of the in-flight count remembered per target; at 100 per second, 2.5 s of history."""
 
-
-_SUSPECT_BASE_S = 0.5
+_SUSPECT_MIN_S = 0.5
 _SUSPECT_MAX_S = 8.0
 
 
 class TargetState(Enum):
-    """Whether a target takes new work."""
+    """Availability of a target for new requests."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -25,20 +24,21 @@
 
 @dataclass
 class TargetView:
-    """What one router knows of one target.
+    """Load and reachability of one target, as seen by one router.
 
     Attributes
     ----------
     inflight : int
-        Requests this router has sent and not yet seen end.
+        Requests that this router has sent and that have not ended.
     reported_busy : int
-        Running plus waiting requests in the target's last load report (from all routers).
-    own_at_report : int
-        This router's ``inflight`` when that report was taken, so the others' share can be told.
-    claim : int or None
-        Slots this router may fill on its own account; None before the split is first worked out.
+        Running and waiting requests of all routers, in the target's last load report.
+    inflight_at_report : int
+        This router's ``inflight`` when that report was taken, which separates its own requests from
+        those of other routers.
+    allocated_slots : int or None
+        Slots allocated to this router; None until the first allocation.
     failures : int
-        Connections refused or timed out in a row.
+        Consecutive connections that were refused or timed out.
     suspect_until : float or None
         Monotonic time, in seconds, until which other targets are preferred after a failure.
     """
@@ -52,63 +52,64 @@
     state: TargetState = TargetState.LIVE
     inflight: int = 0
     reported_busy: int = 0
-    own_at_report: int = 0
+    inflight_at_report: int = 0
     dispatched: int = 0
 
-    claim: int | None = None
+    allocated_slots: int | None = None
     failures: int = 0
     suspect_until: float | None = None
-    history: deque = field(default_factory=lambda: deque(maxlen=_HISTORY))
+    history: deque = field(default_factory=lambda: deque(maxlen=_HISTORY_LENGTH))
 
     def note_unreachable(self, now: float) -> None:
-        """Prefer other targets for a while, longer with each failure in a row.
+        """Prefer other targets for some time, longer after each consecutive failure.
 
-        The instance list lags: without this, every request whose prompt prefix prefers a crashed
-        target would try it first, and with two crashed its one retry could meet the other and
-        end as a refusal beside an idle target.
+        The instance list is delayed. Without this, every request whose prefix prefers a crashed
+        target would try that target first, and with two targets crashed its only retry could go to
+        the other one and end as a refusal although a third is idle.
         """
-        pause = min(_SUSPECT_MAX_S, _SUSPECT_BASE_S * 2**self.failures)
+        pause = min(_SUSPECT_MAX_S, _SUSPECT_MIN_S * 2**self.failures)
         self.failures += 1
         self.suspect_until = now + pause
 
     def note_reached(self) -> None:
-        """Forget past failures: the target answered."""
+        """Reset the failure count after the target answered."""
         self.failures = 0
         self.suspect_until = None
 
-    def end_suspicion(self, now: float) -> None:
-        """Let the target be tried again once its pause has passed."""
+    def expire_suspicion(self, now: float) -> None:
+        """Make the target eligible again once its avoidance period has passed."""
         if self.suspect_until is not None and now >= self.suspect_until:
             self.suspect_until = None
 
     def set_inflight(self, value: int) -> None:
-        """Change this router's in-flight count, remembering when."""
+        """Set this router's in-flight count and record the time of the change."""
         self.inflight = value
         self.history.append((time.monotonic(), value))
 
     def inflight_at(self, when: float) -> int:
-        """This router's in-flight count at ``time.monotonic()`` value ``when``.
+        """Return this router's in-flight count at ``time.monotonic()`` value ``when``.
 
-        A load report describes the target as it was ``age`` seconds ago; comparing it with
-        today's in-flight count would count requests sent since as already in the report and
-        borrow slots that are taken. Unknown (too old) times give 0, which borrows least.
+        A load report describes the target as it was ``age`` seconds ago. Compared with the current
+        in-flight count, it would seem to include requests sent since, and the router would borrow
+        slots that are taken. For times before the recorded history the result is 0, which borrows
+        least.
         """
         for stamp, value in reversed(self.history):
             if stamp <= when:
                 return value
         return 0
 
-    def idle_by_report(self) -> int:
-        """Slots the lagged report shows idle, less those this router filled since."""
-        return self.slots - self.reported_busy - max(0, self.inflight - self.own_at_report)
+    def reported_idle_slots(self) -> int:
+        """Return the slots idle in the delayed report, less those this router has filled since."""
+        return self.slots - self.reported_busy - max(0, self.inflight - self.inflight_at_report)
 
     def free_slots(self) -> int:
-        """Slots this router may fill now: its own claim, or idle ones it may borrow.
+        """Return the slots this router may fill now: allocated ones, or idle ones it may borrow.
 
-        The claim (see :mod:`turmerictray.fairness.shares`) keeps routers from taking each
-        other's part of a busy target; borrowing keeps a target from idling when the routers
-        that claim it have nothing to send. A borrowed slot may meet a late report and wait in
-        the engine's own queue for a moment, which costs less than an idle slot.
+        The allocation (see :mod:`turmerictray.fairness.shares`) keeps routers from using each
+        other's share of a busy target; borrowing keeps a target from idling when the routers with
+        an allocation have nothing to send. Because reports are delayed, a request in a borrowed
+        slot may wait briefly in the engine's own queue, which costs less than an idle slot.
         """
-        claim = self.slots if self.claim is None else self.claim
-        return max(claim - self.inflight, self.idle_by_report())
+        allocated = self.slots if self.allocated_slots is None else self.allocated_slots
+        return max(allocated - self.inflight, self.reported_idle_slots())
--- a/turmerictray/scheduling/choice.py
+++ b/turmerictray/scheduling/choice.py
@@ -1,9 +1,9 @@
-"""Which router is the scheduler of a service's engines, or of one shard of them.
+"""Selection of the scheduler for a service's engines, or for one shard of them.
 
-Every router works it out for itself from the members that it believes alive, so there is nothing to
-elect. Two that differ for a moment, as after a cut, have two schedulers, each of which hears of the
-other's work as routers did before: engines get more than is best for a moment, no rule depends on
-there being one.
+Every router computes the scheduler from the members that it believes alive, so no election is
+needed. Routers whose member lists differ, for example after a network partition, may select two
+schedulers for a while. Each then learns of the other's requests only by gossip, and engines may
+receive more requests than is optimal; no guarantee depends on the scheduler being unique.
 """
 
 import time
@@ -12,36 +12,39 @@
 from turmerictray.core.ids import NodeId, ServiceName, ZoneId
 from turmerictray.membership.messages import MemberEntry
 from turmerictray.routing.rendezvous import weighted_rank
-from turmerictray.scheduling.shards import WHOLE, ShardId
+from turmerictray.scheduling.shards import UNSHARDED, ShardId
 
-_GROWN_BEATS = 12
-"""Messages that a router has sent before it may be the scheduler: three seconds in a small fleet,
-in which it has learnt the text, the targets and what engines keep. Counted in messages, since the
-routers' clocks may differ. If no router is as old, all may be."""
+_MIN_HEARTBEATS = 12
+"""Gossip messages that a router must have sent before it is eligible as scheduler. In a small fleet
+that takes three seconds, in which the router obtains the configuration, the targets and the
+contents of the engines' caches. The unit is messages because the routers' clocks may differ. If no
+router has sent that many, all are eligible."""
 
-_SILENT_S = (1.0, 2.0, 4.0)
-"""How long a scheduler that did not answer is passed over, by times in a row. A process starts
-again within a second; the membership drops one that stays away after three."""
+_SKIP_S = (1.0, 2.0, 4.0)
+"""Seconds for which an unresponsive scheduler is skipped, by number of consecutive timeouts. A
+process restarts within a second; a router that stays down is removed from the member list after
+three seconds."""
 
-_FOREIGN_SILENT = 2
-"""Silent routers of other zones from which on the zone is taken to be cut off. Trying all others
-one by one would take seconds in a large fleet."""
+_PARTITION_THRESHOLD = 2
+"""Number of unresponsive routers in other zones from which the local zone is assumed to be
+partitioned from them. Trying all remote routers one by one would take seconds in a large fleet."""
 
-_SPARE_POWER = 2
-"""Callers come to all routers alike, so one with twice the processor has far more than twice of it
-to spare for scheduling."""
+_CORES_EXPONENT = 2
+"""Exponent applied to a router's cores in its rendezvous weight. Callers are spread evenly over the
+routers, so a router with twice the cores has far more than twice the capacity left for
+scheduling."""
 
-_LOOK_S = 0.1
-"""How long a choice is kept; ranking all routers for each request would be too slow."""
+_SELECTION_TTL_S = 0.1
+"""Seconds for which a selection is cached; ranking all routers per request would be too slow."""
 
 
 class SchedulerChoice:
-    """Chooses by rendezvous hashing among the members that answer, by what their processors can do.
+    """Selects schedulers by rendezvous hashing among responsive members, weighted by their cores.
 
     Parameters
     ----------
     node : NodeId
-        This router.
+        The local router.
     zone : ZoneId
     clock : callable
         Monotonic seconds.
@@ -54,67 +57,67 @@
         self.zone = zone
         self._clock = clock
         self._members: tuple[MemberEntry, ...] = ()
-        self._silent: dict[str, tuple[int, float]] = {}
-        self._chosen: dict[str, tuple[float, MemberEntry | None]] = {}
+        self._unresponsive: dict[str, tuple[int, float]] = {}
+        self._selections: dict[str, tuple[float, MemberEntry | None]] = {}
 
-    def take_members(self, members: Iterable[MemberEntry]) -> None:
-        """Take the members that are believed alive, this router included."""
+    def set_members(self, members: Iterable[MemberEntry]) -> None:
+        """Replace the list of members believed alive, which includes the local router."""
         self._members = tuple(members)
-        # A plain assignment: other threads may be reading the old choices.
-        self._chosen = {}
-
-    def note_silent(self, node: str) -> None:
-        """A scheduler did not answer in time."""
-        count, _ = self._silent.get(node, (0, 0.0))
-        pause = _SILENT_S[min(count, len(_SILENT_S) - 1)]
-        self._silent = {**self._silent, node: (count + 1, self._clock() + pause)}
-        self._chosen = {}
-
-    def note_heard(self, node: str) -> None:
-        """A scheduler has answered."""
-        if node in self._silent:
-            self._silent = {n: kept for n, kept in self._silent.items() if n != node}
-            self._chosen = {}
-
-    def scheduler(self, service: ServiceName, shard: ShardId = WHOLE) -> MemberEntry | None:
-        """The scheduler of a shard's engines; None where this router decides by itself."""
-        chosen = self._current(service, shard)
-        return None if chosen is None or chosen.node == self.node else chosen
+        # Assign a new dict instead of clearing the old one, which other threads may be reading.
+        self._selections = {}
+
+    def mark_unresponsive(self, node: str) -> None:
+        """Skip a scheduler that did not answer in time for a while."""
+        count, _ = self._unresponsive.get(node, (0, 0.0))
+        skip_s = _SKIP_S[min(count, len(_SKIP_S) - 1)]
+        self._unresponsive = {**self._unresponsive, node: (count + 1, self._clock() + skip_s)}
+        self._selections = {}
+
+    def mark_responsive(self, node: str) -> None:
+        """Make a scheduler that has answered eligible again."""
+        if node in self._unresponsive:
+            self._unresponsive = {n: state for n, state in self._unresponsive.items() if n != node}
+            self._selections = {}
+
+    def scheduler(self, service: ServiceName, shard: ShardId = UNSHARDED) -> MemberEntry | None:
+        """Return the scheduler of a shard's engines; None where the local router decides."""
+        selected = self._cached_selection(service, shard)
+        return None if selected is None or selected.node == self.node else selected
 
     def is_scheduler(self, service: ServiceName, shard: ShardId) -> bool:
-        """Whether this router is the scheduler of a shard."""
-        chosen = self._current(service, shard)
-        return chosen is not None and chosen.node == self.node
+        """Whether the local router is the scheduler of a shard."""
+        selected = self._cached_selection(service, shard)
+        return selected is not None and selected.node == self.node
 
-    def _current(self, service: ServiceName, shard: ShardId) -> MemberEntry | None:
+    def _cached_selection(self, service: ServiceName, shard: ShardId) -> MemberEntry | None:
         key = _key(service, shard)
         now = self._clock()
-        until, chosen = self._chosen.get(key, (0.0, None))
+        until, selected = self._selections.get(key, (0.0, None))
         if now >= until:
-            chosen = self._choose(key, now)
-            self._chosen[key] = (now + _LOOK_S, chosen)
-        return chosen
+            selected = self._select(key, now)
+            self._selections[key] = (now + _SELECTION_TTL_S, selected)
+        return selected
 
-    def ranked(self, key: str) -> list[MemberEntry]:
-        """The members that may be the scheduler, the first choice first; this router included."""
-        grown = [entry for entry in self._members if entry.beat >= _GROWN_BEATS]
+    def ranked_members(self, key: str) -> list[MemberEntry]:
+        """Return the eligible members, including the local router, in order of preference."""
+        eligible = [entry for entry in self._members if entry.heartbeat >= _MIN_HEARTBEATS]
         return sorted(
-            grown or self._members,
-            key=lambda entry: weighted_rank(key, entry.node, entry.cores**_SPARE_POWER),
+            eligible or self._members,
+            key=lambda entry: weighted_rank(key, entry.node, entry.cores**_CORES_EXPONENT),
             reverse=True,
         )
 
-    def _choose(self, key: str, now: float) -> MemberEntry | None:
-        silent = {node for node, (_, until) in self._silent.items() if until > now}
-        foreign = [e for e in self._members if e.node in silent and e.zone != self.zone]
-        is_cut_off = len(foreign) >= _FOREIGN_SILENT
-        for entry in self.ranked(key):
+    def _select(self, key: str, now: float) -> MemberEntry | None:
+        unresponsive = {node for node, (_, until) in self._unresponsive.items() if until > now}
+        remote = [e for e in self._members if e.node in unresponsive and e.zone != self.zone]
+        is_partitioned = len(remote) >= _PARTITION_THRESHOLD
+        for entry in self.ranked_members(key):
             if entry.node == self.node:
                 return entry
-            if entry.node not in silent and (entry.zone == self.zone or not is_cut_off):
+            if entry.node not in unresponsive and (entry.zone == self.zone or not is_partitioned):
                 return entry
         return None
 
 
 def _key(service: ServiceName, shard: ShardId) -> str:
-    return service if shard == WHOLE else f"{service}/{shard.index}/{shard.count}"
+    return service if shard == UNSHARDED else f"{service}/{shard.index}/{shard.count}"
--- a/turmerictray/scheduling/link.py
+++ b/turmerictray/scheduling/link.py
@@ -1,8 +1,8 @@
-"""The sockets on which routers and schedulers exchange messages about single requests.
+"""Sockets on which routers and schedulers exchange messages about single requests.
 
-Each router pulls on one address and pushes to those that it asks or answers. Handlers run on the
-receiving thread; a message that can't be sent at once is reported to the sender, who has another
-way: a router decides by itself, a scheduler takes its grant back.
+Each router has one pull socket for incoming messages and a push socket per router that it sends to.
+Handlers run on the receiving thread. :meth:`SchedulingLink.send` never blocks: if it fails, a
+router places the request itself, and a scheduler revokes its grant.
 """
 
 import threading
@@ -18,11 +18,12 @@
 from turmerictray.scheduling.messages import SchedulingMessage
 
 _SEND_BUFFER = 128
-"""Messages on their way to one router: what one with a thousand requests a second sends, and what
-it is granted, while either side has no processor time for a tenth of a second."""
+"""Messages buffered per receiving router. This covers the requests or grants of a router with 1000
+requests/s while either side gets no processor time for 0.1 s."""
 
 _RECV_BUFFER = 1024
-"""Messages that wait to be handled: three for each of 300 requests that come within a pause."""
+"""Received messages that are not handled yet: three for each of 300 requests that arrive while the
+process is paused."""
 
 _DECODER = msgspec.msgpack.Decoder(SchedulingMessage)
 _ENCODER = msgspec.msgpack.Encoder()
@@ -34,7 +35,7 @@
     Parameters
     ----------
     address : str
-        ``tcp://host:port`` to pull on.
+        ``tcp://host:port`` to listen on.
     on_message : callable
         Called with each message, on the receiving thread.
     """
@@ -43,11 +44,17 @@
         self.address = address
         self._on_message = on_message
         self._lock = threading.Lock()
-        self._outlets: dict[str, pynng.Push0] = {}
+        self._sockets: dict[str, pynng.Push0] = {}
         self._receiver: Receiver | None = None
 
     def start(self) -> None:
-        """Listen; raises :class:`PeerError` when the address is taken."""
+        """Listen on the address.
+
+        Raises
+        ------
+        PeerError
+            If the address is in use.
+        """
         try:
             self._receiver = Receiver(
                 self.address, "scheduling-receive", _RECV_BUFFER, self._receive
@@ -59,52 +66,54 @@
         """Close all sockets."""
         self._receiver.close()
         with self._lock:
-            outlets, self._outlets = self._outlets, {}
-        for outlet in outlets.values():
-            outlet.close()
+            sockets, self._sockets = self._sockets, {}
+        for push in sockets.values():
+            push.close()
 
     def send(self, address: str, message: SchedulingMessage) -> bool:
-        """Send to a router; false when it can't be sent now."""
+        """Send a message to a router without blocking; return whether it was sent."""
         data = _ENCODER.encode(message)
         try:
-            self._outlet(address).send(data, block=False)
+            self._socket_to(address).send(data, block=False)
         except pynng.NNGException as exc:
             log_event("scheduling_send_failed", level="WARNING", to=address, exc=exc)
             if not isinstance(exc, pynng.TryAgain):
-                self.redial(address)
-            # A full buffer is no broken connection: opened anew, all in it would be lost, also the
-            # ends of requests, without which engines count as busy for seconds.
+                self.reconnect(address)
+            # A full buffer does not mean a broken connection. Reconnecting would discard the
+            # buffered messages, and without their `Ended` messages engines would be counted as
+            # busy for seconds.
             return False
         metrics.count_control("scheduling", len(data), 0)
         return True
 
-    def is_dialled(self, address: str) -> bool:
-        """Whether there is a connection to an address, or one is being opened."""
-        return address in self._outlets
+    def is_connected(self, address: str) -> bool:
+        """Whether a connection to an address is open or being opened."""
+        return address in self._sockets
 
-    def redial(self, address: str) -> None:
-        """Use a new connection from now on.
+    def reconnect(self, address: str) -> None:
+        """Close the connection to an address; the next message opens a new one.
 
-        One that a cut left half open swallows messages without an error while new ones work.
+        A connection that a network partition left half open loses messages without an error, while
+        new connections work.
         """
         with self._lock:
-            outlet = self._outlets.pop(address, None)
-        if outlet is not None:
-            outlet.close()
+            push = self._sockets.pop(address, None)
+        if push is not None:
+            push.close()
 
-    def _outlet(self, address: str) -> pynng.Push0:
+    def _socket_to(self, address: str) -> pynng.Push0:
         with self._lock:
-            outlet = self._outlets.get(address)
-            if outlet is None:
-                outlet = pynng.Push0(send_buffer_size=_SEND_BUFFER)
-                outlet.dial(address, block=False)
-                self._outlets[address] = outlet
-            return outlet
+            push = self._sockets.get(address)
+            if push is None:
+                push = pynng.Push0(send_buffer_size=_SEND_BUFFER)
+                push.dial(address, block=False)
+                self._sockets[address] = push
+            return push
 
     def _receive(self, pull: pynng.Pull0) -> None:
-        receive_all(pull, "scheduling", "scheduling_receive_failed", self._take)
+        receive_all(pull, "scheduling", "scheduling_receive_failed", self._handle)
 
-    def _take(self, data: bytes) -> None:
+    def _handle(self, data: bytes) -> None:
         try:
             message = _DECODER.decode(data)
         except msgspec.DecodeError as exc:
--- a/turmerictray/scheduling/messages.py
+++ b/turmerictray/scheduling/messages.py
@@ -1,29 +1,32 @@
-"""What a router and the scheduler tell each other about single requests, as sent on the wire."""
+"""Wire messages about single requests between routers and schedulers."""
 
 import msgspec
 
 
 class PlaceRequest(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """A router asks for an engine.
+    """Request of a router for an engine.
 
     Attributes
     ----------
     call_id : int
         Unique in the fleet.
     origin, reply_to : str
-        The router and the address that it takes answers at.
-    redialled : bool
-        The router has just opened its connection anew; the one for answers may be dead as well.
+        The requesting router, and the address at which it receives the answer.
+    reconnected : bool
+        Whether the router has just opened a new connection to the scheduler. The connection in the
+        opposite direction may be broken as well.
     parts : list of (str, int)
-        Id and tokens of the prompt's parts.
-    wait_s, give_up_s : float
-        Seconds from now until the request must have been sent, and answered.
+        Id and length in tokens of each prompt part.
+    wait_s : float
+        Seconds from now within which the request must be sent to an engine.
+    give_up_s : float
+        Seconds from now within which the request must be answered.
     exclude : list of str
-        Targets that it has been sent to.
+        Targets to which the request has already been sent.
     retry, repeat : bool
         See :class:`turmerictray.router.broker_messages.Ask`.
     shard, shards : int
-        The shard of the service's engines that the request is for, of so many.
+        Index of the shard in which an engine is requested, and number of shards.
     digest : str
         See :mod:`turmerictray.admission.digest`.
     """
@@ -31,7 +34,7 @@
     call_id: int
     origin: str
     reply_to: str
-    redialled: bool
+    reconnected: bool
     zone: str
     req_id: str
     team: str
@@ -51,14 +54,14 @@
 
 
 class PlaceWithdrawn(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """The caller of a request that waits is gone."""
+    """Notice that the caller of a pending request has disconnected."""
 
     call_id: int
     service: str
 
 
 class FirstSeen(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """An answer's first event came ``took_s`` seconds after the request was sent."""
+    """Report that the first event of an answer came ``took_s`` seconds after sending."""
 
     call_id: int
     service: str
@@ -67,9 +70,14 @@
 
 
 class Ended(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """A granted request has ended, or was not sent; ``cost`` is what it took from the pool.
+    """Report that a granted request has ended or was not sent.
 
-    ``digest`` is given where its target has ended under it.
+    Attributes
+    ----------
+    cost : float
+        Capacity of the pool that the request used, in tokens.
+    digest : str
+        Digest of the request if its target terminated while running it; otherwise empty.
     """
 
     call_id: int
@@ -81,21 +89,21 @@
 
 
 class LeavingSeen(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """A target's own answer says that it is leaving."""
+    """Report that a target announced its shutdown in an answer."""
 
     service: str
     target: str
 
 
 class PlaceGranted(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """The engine to send to; see :class:`turmerictray.router.broker_messages.Granted`.
+    """Grant of an engine; see :class:`turmerictray.router.broker_messages.Granted`.
 
     Attributes
     ----------
     scheduler, reply_to : str
-        The router that grants, and where it is told how the request went.
+        The granting router, and the address at which it receives the request's outcome.
     backlog_s : float
-        Seconds until all that waits there has been sent.
+        Estimated seconds until all requests queued at the scheduler have been sent.
     """
 
     call_id: int
@@ -115,7 +123,7 @@
 
 
 class PlaceRefused(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """The request is refused; ``error`` names a class of :mod:`turmerictray.core.errors`."""
+    """Refusal of a request; ``error`` names a class of :mod:`turmerictray.core.errors`."""
 
     call_id: int
     scheduler: str
@@ -125,20 +133,20 @@
 
 
 class StillWaiting(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """The scheduler is alive while requests of the router wait there."""
+    """Heartbeat of a scheduler to a router with pending requests there."""
 
     scheduler: str
 
 
 class ServiceGiven(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """What teams were given by a scheduler of one shard, for those of the others.
+    """Tokens served per team by the scheduler of one shard, for the schedulers of the others.
 
     Attributes
     ----------
     service : dict of str to float
-        Tokens per team since the process started; only what has changed.
+        Tokens served since the process started, for the teams whose value has changed.
     waiting : list of str
-        Teams that wait for room.
+        Teams with pending requests.
     """
 
     scheduler: str
@@ -148,7 +156,11 @@
 
 
 class LookNow(msgspec.Struct, frozen=True, array_like=True, tag=10):
-    """A router's word to itself, which comes after all that has arrived before it was sent."""
+    """Message from a router to itself that triggers the check for unresponsive schedulers.
+
+    It passes through the receive queue, so every message that arrived before ``sent_at`` has been
+    handled when it is received.
+    """
 
     sent_at: float
 
--- a/turmerictray/simulation/engine.py
+++ b/turmerictray/simulation/engine.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from turmerictray.routing.prompt import Part, PartId, Prompt
+from turmerictray.routing.prompt import PartId, Prompt, PromptPart
 from turmerictray.simulation.timeline import Timeline
 
 _SERIAL_FIRST_S = 0.02
@@ -67,9 +67,9 @@
             self._total -= self._kept.popitem(last=False)[1]
         return missing
 
-    def parts(self) -> list[Part]:
+    def parts(self) -> list[PromptPart]:
         """What is kept, least recently used first."""
-        return [Part(part_id, tokens) for part_id, tokens in self._kept.items()]
+        return [PromptPart(part_id, tokens) for part_id, tokens in self._kept.items()]
 
 
 class Engine(Protocol):
--- a/turmerictray/simulation/fleet.py
+++ b/turmerictray/simulation/fleet.py
@@ -7,15 +7,15 @@
 from dataclasses import dataclass, field
 
 from turmerictray.admission.budget import RetryBudget
-from turmerictray.admission.patience import retry_after_s
-from turmerictray.admission.pool import Outcome, ServicePool, Wanted
+from turmerictray.admission.pool import Outcome, PlacementContext, ServicePool
+from turmerictray.admission.time_bounds import retry_after_s
 from turmerictray.config.routes import EngineSpec, ServiceSpec
 from turmerictray.core.errors import AdmissionError
 from turmerictray.core.ids import NodeId, RequestId, ServiceName, TargetId, TeamId, ZoneId
-from turmerictray.fairness.queue import Pending
-from turmerictray.fairness.recent import RecentService
+from turmerictray.fairness.queue import PendingRequest
+from turmerictray.fairness.recent_usage import RecentUsage
 from turmerictray.routing.load import PeerLoad, TargetInfo
-from turmerictray.routing.place import PlacePrompt, place_prompt
+from turmerictray.routing.place import PromptPlacementRule, place_prompt
 from turmerictray.routing.prompt import Prompt
 from turmerictray.simulation.engine import Engine, Run
 from turmerictray.simulation.timeline import Timeline
@@ -93,7 +93,7 @@
         routers: int,
         engines: Sequence[MakeEngine],
         memory_tokens: int = 600_000,
-        place: PlacePrompt = place_prompt,
+        place: PromptPlacementRule = place_prompt,
         seed: int = 1,
     ) -> None:
         self.timeline = Timeline()
@@ -116,11 +116,11 @@
         return self.timeline.now
 
     def _make_pool(self, number: int) -> ServicePool:
-        ledger = RecentService(NodeId(f"r{number}"), lambda: self.now)
+        ledger = RecentUsage(NodeId(f"r{number}"), lambda: self.now)
         pool = ServicePool(_LLM, _ZONE, ledger, RetryBudget(0.2, 50, 10), self._place)
         pool.targets.set_spec(self._spec)
         for target in self.engines:
-            pool.targets.take(TargetInfo(target, _LLM, "h:1", _ZONE, 64))
+            pool.targets.add_or_update(TargetInfo(target, _LLM, "h:1", _ZONE, 64))
         return pool
 
     def restart_all(self, recalled: bool) -> None:
@@ -146,7 +146,7 @@
         """Each router asks its share of the engines what they keep, and tells its peers."""
         for number, (target, engine) in enumerate(self.engines.items()):
             asking = self.pools[number % len(self.pools)]
-            asking.targets.note_listed(target, engine.memory.parts(), tell_peers=True)
+            asking.targets.record_cached(target, engine.memory.parts(), announce_to_peers=True)
 
     # -- requests ------------------------------------------------------------------------------
 
@@ -156,13 +156,13 @@
             self.callers.append(caller)
         pool, call_id = self.pools[router], next(self._ids)
         until = self.now + caller.objective_s
-        wanted = Wanted(call_id, caller.prompt)
-        item = Pending(
+        wanted = PlacementContext(call_id, caller.prompt)
+        item = PendingRequest(
             RequestId(str(call_id)), caller.team, caller.prompt.cost, until, Future(), wanted
         )
         item.caller = caller
         try:
-            pool.offer(item, self.now)
+            pool.enqueue(item, self.now)
         except AdmissionError as exc:
             self._refuse(caller, exc.retry_after)
             return
@@ -177,18 +177,18 @@
         self.timeline.at(self.now + wait, self.ask, self._rng.randrange(len(self.pools)), caller)
 
     def _pump(self, pool: ServicePool) -> None:
-        for sent in pool.sends(self.now):
+        for sent in pool.dispatch_ready(self.now):
             self._send(pool, sent)
 
     def _send(self, pool: ServicePool, sent) -> None:
-        target, call_id = sent.placement.load.info.id, sent.item.context.call_id
-        caller, sent_at = sent.item.caller, self.now
+        target, call_id = sent.placement.load.info.id, sent.pending.context.call_id
+        caller, sent_at = sent.pending.caller, self.now
 
         def first() -> None:
             if run.gone:
                 return
             caller.first_at = self.now
-            pool.targets.first_event(target, call_id, self.now - sent_at)
+            pool.targets.record_first_event(target, call_id, self.now - sent_at)
             self._pump(pool)
 
         def done() -> None:
@@ -204,8 +204,8 @@
 
     def _expire(self) -> None:
         for pool in self.pools:
-            pool.targets.judge_slowness()
-            pool.targets.give_up_reads(self.now)
+            pool.targets.update_slowness()
+            pool.targets.expire_overdue_prefills(self.now)
             for item in pool.expire(self.now):
                 self._refuse(item.caller, pool.expected_wait_s(item))
             self._pump(pool)
@@ -221,18 +221,18 @@
         self.timeline.at(self.now + GOSSIP_S, self._gossip)
 
     def _tell_peers(self, node: NodeId, pool: ServicePool) -> None:
-        told, waiting = pool.ledger.told(), pool.backlogged()
-        reads = pool.targets.take_reads()
+        told, waiting = pool.ledger.local_counters(), pool.backlogged()
+        reads = pool.targets.take_unreported_reads()
         work = {
-            target: PeerLoad(load.running, load.own_unread_tokens(), self.now)
+            target: PeerLoad(load.running, load.local_unread_tokens(), self.now)
             for target, load in pool.targets.loads.items()
         }
         for other in self.pools:
             if other is pool:
                 continue
-            other.targets.hear_peer(node, work)
+            other.targets.update_peer_load(node, work)
             for target, parts in reads:
-                other.targets.note_peer_read(target, list(parts))
+                other.targets.record_peer_read(target, list(parts))
             other.ledger.merge(node, 1, told)
             other.ledger.note_waiting(node, waiting)
 
--- a/turmerictray/simulation/loads.py
+++ b/turmerictray/simulation/loads.py
@@ -7,7 +7,7 @@
 import numpy as np
 
 from turmerictray.core.ids import TeamId
-from turmerictray.routing.prompt import Part, PartId, Prompt
+from turmerictray.routing.prompt import PartId, Prompt, PromptPart
 from turmerictray.simulation.fleet import Caller, Fleet
 
 _TEAMS = 16
@@ -27,7 +27,7 @@
     subjects : int
         Different shared parts.
     part : float
-        Part of all requests.
+        PromptPart of all requests.
     worth : float
         What an answer in time is worth to its caller, relative to the other kinds.
     """
@@ -152,9 +152,9 @@
 
     def _prompt(self, kind: Kind, when: float) -> Prompt:
         subject = self._subject(kind, when)
-        shared = Part(PartId(f"{kind.name}{subject}"), int(self._sizes[kind.name][subject]))
+        shared = PromptPart(PartId(f"{kind.name}{subject}"), int(self._sizes[kind.name][subject]))
         own_tokens = int(self._around(kind.own, 0.9, 1)[0])
-        own = Part(PartId(f"own{when}"), own_tokens)
+        own = PromptPart(PartId(f"own{when}"), own_tokens)
         generated = int(self._around(kind.generated, 0.9, 1)[0])
         return Prompt((shared, own), shared.tokens + own_tokens, generated)
 
--- a/turmerictray/simulation/ways.py
+++ b/turmerictray/simulation/ways.py
@@ -4,10 +4,10 @@
 from dataclasses import dataclass, replace
 
 from turmerictray.core.ids import ZoneId
-from turmerictray.routing.kept import KeptParts
 from turmerictray.routing.load import TargetLoad
 from turmerictray.routing.model import PoolModel
-from turmerictray.routing.place import Placement, PlacePrompt, place_prompt
+from turmerictray.routing.place import Placement, PromptPlacementRule, place_prompt
+from turmerictray.routing.prefix_cache import PrefixCacheModel
 from turmerictray.routing.prompt import Prompt
 from turmerictray.routing.rendezvous import rank
 from turmerictray.simulation.engine import BatchEngine, EngineShape
@@ -34,13 +34,13 @@
     """The first engine in the rank of the prompt's shared part that is not over the bound."""
     if not loads:
         return None
-    running = {load.info.id: load.running_in_fleet(now) + len(load.held) for load in loads}
+    running = {load.info.id: load.running_in_fleet(now) + len(load.reserved) for load in loads}
     bound = _BOUND * (sum(running.values()) + 1) / len(loads)
-    key = prompt.home_key or str(call_id)
+    key = prompt.affinity_key or str(call_id)
     ranked = sorted(loads, key=lambda load: rank(key, load.info.id), reverse=True)
     chosen = next((load for load in ranked if running[load.info.id] < bound), ranked[0])
-    miss = prompt.input_tokens - chosen.kept.kept_tokens(prompt)
-    ahead = chosen.unread_tokens(now, model.read_per_s) + chosen.held_tokens(call_id)
+    miss = prompt.input_tokens - chosen.prefix_cache.cached_tokens(prompt)
+    ahead = chosen.unread_tokens(now, model.read_per_s) + chosen.reserved_tokens_except(call_id)
     return Placement(chosen, miss, ahead, model.first_event_s(ahead + miss))
 
 
@@ -49,7 +49,7 @@
     """A way of placing prompts, and what routers learn beside their own messages."""
 
     name: str
-    place: PlacePrompt
+    place: PromptPlacementRule
     follows_memories: bool = False
     recalls: bool = True
 
@@ -68,8 +68,8 @@
         parts = engine.memory.parts()
         for pool in fleet.pools:
             load = pool.targets.loads[target]
-            load.kept = KeptParts(load.kept.memory_tokens)
-            load.kept.note_parts(parts)
+            load.prefix_cache = PrefixCacheModel(load.prefix_cache.memory_tokens)
+            load.prefix_cache.note_parts(parts)
     fleet.timeline.at(fleet.now + _EVENTS_S, follow_memories, fleet)
 
 
