--- a/tests/cli/test_explain_walks.py
+++ b/tests/cli/test_explain_walks.py
@@ -6,7 +6,7 @@
 import pytest
 
 from turmerictray.cli.explain import explain
-from turmerictray.platform.standins.caller import PROMPT, RawCaller
+from turmerictray.platform.standins.caller import PROMPT_HEADERS, RawCaller
 from turmerictray.platform.standins.local import LocalDeployment
 from turmerictray.platform.standins.worker import WorkerFault
 
@@ -38,7 +38,7 @@
 
 def test_order_answered_502(deployment):
     for worker in deployment.of_service("app"):
-        worker.plan.faults.append(WorkerFault.RESET_AFTER_RUN)
+        worker.behaviour.faults.append(WorkerFault.RESET_AFTER_RUN)
     assert ask(deployment, "POST", "/order/1", "0rder") == 502
     told = story(deployment, "0rder")
     assert "may_have_run=True" in told
@@ -50,12 +50,12 @@
 def test_prompt_answered_503(deployment):
     # Each engine reads for seconds; whoever comes behind can't be answered within the objective.
     for worker in deployment.of_service("llm"):
-        worker.plan.read_per_s = 5_000
+        worker.behaviour.read_tokens_per_s = 5_000
     statuses: dict[str, int] = {}
 
     def prompt(number: int) -> None:
         name = f"plan{number}"
-        headers = PROMPT | {
+        headers = PROMPT_HEADERS | {
             "X_Token_Count": "12000,80",
             "X_Prompt_Prefix": f"a{number}:10000,b{number}:2000",
         }
@@ -77,8 +77,8 @@
 
 def test_stream_that_stopped_in_the_middle(deployment):
     for worker in deployment.of_service("llm"):
-        worker.plan.events, worker.plan.pause_s = 100, 0.1
-    assert ask(deployment, "POST", "/recon/1", "str3am", **PROMPT) == 200
+        worker.behaviour.event_count, worker.behaviour.event_interval_s = 100, 0.1
+    assert ask(deployment, "POST", "/recon/1", "str3am", **PROMPT_HEADERS) == 200
     told = story(deployment, "str3am")
     assert "outcome=cut" in told
     assert "cause: the route's or the caller's time was over" in told
--- a/tests/config/test_config_check.py
+++ b/tests/config/test_config_check.py
@@ -1,4 +1,4 @@
-"""Checking configuration texts: located refusals and no reverting."""
+"""Validation of configurations: errors name the field, and versions never decrease."""
 
 import copy
 
@@ -30,21 +30,21 @@
     return {}
 
 
-@given(parsers.parse('a configuration text whose first target\'s slots is "{value}"'))
-def text_bad_slots(ctx, value):
+@given(parsers.parse('a configuration whose first target\'s slots is "{value}"'))
+def config_with_slots(ctx, value):
     doc = copy.deepcopy(BASE)
     doc["services"][0]["targets"][0]["slots"] = value
     ctx["text"] = msgspec.json.encode(doc)
 
 
-@given(parsers.parse('a configuration text whose service depends on "{dep}"'))
-def text_bad_dep(ctx, dep):
+@given(parsers.parse('a configuration whose service depends on "{dep}"'))
+def config_with_dependency(ctx, dep):
     doc = copy.deepcopy(BASE)
     doc["services"][0]["depends_on"] = [dep]
     ctx["text"] = msgspec.json.encode(doc)
 
 
-def _with_orders() -> dict:
+def _config_with_plain_service() -> dict:
     doc = copy.deepcopy(BASE)
     target = {"id": "s0", "url": "http://127.0.0.1:2", "zone": "tema-hall"}
     doc["services"].append({"name": "orders", "kind": "plain", "targets": [target]})
@@ -52,47 +52,47 @@
 
 
 @given(
-    parsers.parse('a configuration text whose services "{one}" and "{other}" depend on each other')
+    parsers.parse('a configuration whose services "{first}" and "{second}" depend on each other')
 )
-def text_cycle(ctx, one, other):
-    doc = _with_orders()
-    doc["services"][0]["depends_on"] = [other]
-    doc["services"][1]["depends_on"] = [one]
+def config_with_cycle(ctx, first, second):
+    doc = _config_with_plain_service()
+    doc["services"][0]["depends_on"] = [second]
+    doc["services"][1]["depends_on"] = [first]
     ctx["text"] = msgspec.json.encode(doc)
 
 
-@given("a configuration text whose plain service is told to load a model")
-def text_plain_models(ctx):
-    doc = _with_orders()
+@given("a configuration whose plain service has a target with models")
+def config_with_models_of_plain_service(ctx):
+    doc = _config_with_plain_service()
     doc["services"][1]["targets"][0]["models"] = ["chat-1"]
     ctx["text"] = msgspec.json.encode(doc)
 
 
-@when("the text is checked")
-def check(ctx):
+@when("the configuration is validated")
+def validate(ctx):
     try:
         parse_config(ctx["text"])
     except ConfigError as exc:
         ctx["error"] = exc
 
 
-@then(parsers.parse('it is refused naming "{where}"'))
-def refused(ctx, where):
-    assert where in ctx["error"].reason
+@then(parsers.parse('it is rejected with an error naming "{location}"'))
+def rejected(ctx, location):
+    assert location in ctx["error"].reason
 
 
-@given(parsers.parse("version {version:d} is in force"), target_fixture="state")
-def in_force(version):
+@given(parsers.parse("version {version:d} is active"), target_fixture="state")
+def activate(version):
     state = ConfigState()
     assert state.offer(parse_config(msgspec.json.encode({**BASE, "version": version})))
     return state
 
 
 @when(parsers.parse("version {version:d} is offered"))
-def offer(state, version):
+def offer_rejected(state, version):
     assert not state.offer(parse_config(msgspec.json.encode({**BASE, "version": version})))
 
 
-@then(parsers.parse("version {version:d} is still in force"))
-def still(state, version):
+@then(parsers.parse("version {version:d} is still active"))
+def still_active(state, version):
     assert state.version == version
--- a/tests/config/test_config_stateful.py
+++ b/tests/config/test_config_stateful.py
@@ -1,4 +1,4 @@
-"""Randomised runs of the configuration's way to the routers, through outages and bad texts."""
+"""Stateful test of how configurations reach the routers despite outages and invalid revisions."""
 
 import hypothesis.strategies as st
 import msgspec
@@ -26,92 +26,96 @@
 }
 
 
-class Answer:
-    """An HTTP answer of a fake."""
+class FakeResponse:
+    """An HTTP response of the fake configuration service."""
 
     def __init__(self, status: int, data: bytes = b"", version: int = 0) -> None:
         self.status, self.data = status, data
         self.headers = {"ETag": f'"{version}"'} if version else {}
 
 
-class Ref:
-    """An actor reference that hands messages to a function."""
+class FakeActorRef:
+    """A fake actor reference that passes messages to a function."""
 
     def __init__(self, tell) -> None:
         self.tell = tell
 
 
 class Router:
-    """The watcher and the configuration in force of one router, over the fake service."""
+    """The watcher and the active configuration of one router, connected to the fake service."""
 
-    def __init__(self, world: "ConfigMachine") -> None:
+    def __init__(self, service: "ConfigMachine") -> None:
         self.state = ConfigState()
-        self.watcher = ConfigWatcher("http://config", Ref(self._apply), Ref(lambda _: None), 2.0)
-        self.watcher.http = world
+        self.watcher = ConfigWatcher(
+            "http://config", FakeActorRef(self._apply), FakeActorRef(lambda _: None), 2.0
+        )
+        self.watcher.http = service
 
     def _apply(self, msg: ConfigApplied) -> None:
         before = self.state.version
         self.state.offer(msg.cfg)
-        assert self.state.version >= before, "the configuration in force went back"
+        assert self.state.version >= before, "the version of the active configuration decreased"
 
 
 class ConfigMachine(RuleBasedStateMachine):
-    """Operators publish good and bad texts; the service is down or stale; routers restart."""
+    """Publishes configurations, interrupts or reverts the service, and restarts routers."""
 
     def __init__(self) -> None:
         super().__init__()
         watch_config._BACKOFF_S = (0.0,)
         watch_config._UNCHANGED_PAUSE_S = 0.0
         self.revisions: list[bytes] = []
-        self.visible = 0
+        self.visible_revision = 0
         self.down = False
         self.publish(valid=True)
         self.routers = [Router(self) for _ in ROUTERS]
 
-    def request(self, _method: str, url: str, fields=None, headers=None, timeout=None) -> Answer:
-        """The configuration service's protocol, and peers' ``/admin/config``."""
+    def request(
+        self, _method: str, url: str, fields=None, headers=None, timeout=None
+    ) -> FakeResponse:
+        """Answer like the configuration service, and like ``/admin/config`` of a peer."""
         if url.endswith("/admin/config"):
             cfg = self.routers[int(url.split("//")[1].split("/")[0])].state.current
-            return Answer(200, msgspec.json.encode(cfg))
+            return FakeResponse(200, msgspec.json.encode(cfg))
         if self.down:
             raise urllib3.exceptions.HTTPError("down")
-        revision = int((fields or {}).get("revision", self.visible))
+        revision = int((fields or {}).get("revision", self.visible_revision))
         if (headers or {}).get("If-None-Match") == f'"{revision}"':
-            return Answer(304)
-        return Answer(200, self.revisions[revision - 1], revision)
+            return FakeResponse(304)
+        return FakeResponse(200, self.revisions[revision - 1], revision)
 
     @rule(valid=st.booleans())
     def publish(self, valid):
-        text = dict(VALID, version=len(self.revisions) + 1)
-        self.revisions.append(msgspec.json.encode(text if valid else dict(text, teams="none")))
+        doc = dict(VALID, version=len(self.revisions) + 1)
+        self.revisions.append(msgspec.json.encode(doc if valid else dict(doc, teams="none")))
         if not self.down:
-            self.visible = len(self.revisions)
+            self.visible_revision = len(self.revisions)
 
-    @rule(back=st.integers(0, 3))
-    def service_falls_back(self, back):
-        self.visible = max(1, len(self.revisions) - back)
+    @rule(steps=st.integers(0, 3))
+    def serve_old_revision(self, steps):
+        self.visible_revision = max(1, len(self.revisions) - steps)
 
     @rule(down=st.booleans())
-    def service_goes(self, down):
+    def set_service_down(self, down):
         self.down = down
 
-    @rule(num=st.sampled_from(ROUTERS))
-    def read(self, num):
-        self.routers[num].watcher._poll()
+    @rule(index=st.sampled_from(ROUTERS))
+    def read_service(self, index):
+        self.routers[index].watcher._poll()
 
-    @rule(num=st.sampled_from(ROUTERS), peer=st.sampled_from(ROUTERS))
-    def hear_peer(self, num, peer):
+    @rule(index=st.sampled_from(ROUTERS), peer=st.sampled_from(ROUTERS))
+    def fetch_from_peer(self, index, peer):
         version = self.routers[peer].state.version
         if version:
-            self.routers[num].watcher._fetch_from_peer(PeerHasNewer(version, f"http://{peer}"))
+            self.routers[index].watcher._fetch_from_peer(PeerHasNewer(version, f"http://{peer}"))
 
-    @rule(num=st.sampled_from(ROUTERS))
-    def restart(self, num):
-        self.routers[num] = Router(self)
+    @rule(index=st.sampled_from(ROUTERS))
+    def restart(self, index):
+        self.routers[index] = Router(self)
 
     @rule()
-    def all_is_well_again(self):
-        self.down, self.visible = False, len(self.revisions)
+    def converge_after_recovery(self):
+        self.down, self.visible_revision = False, len(self.revisions)
         for router in self.routers:
             router.watcher._poll()
         newest = self._newest_valid()
@@ -127,7 +131,7 @@
         raise AssertionError("no valid revision")
 
     @invariant()
-    def in_force_is_a_published_text(self):
+    def active_config_was_published(self):
         for router in self.routers:
             if router.state.current is not None:
                 published = parse_config(self.revisions[router.state.version - 1])
--- a/tests/core/test_actor.py
+++ b/tests/core/test_actor.py
@@ -1,4 +1,4 @@
-"""A failed actor is not left dead in a process that goes on."""
+"""Tests for the failure of an actor."""
 
 import subprocess
 import sys
@@ -20,9 +20,9 @@
 """
 
 
-def test_process_ends_and_says_why():
-    # The actor that owns the pools raises. Only its thread ends; the process would say that it is
-    # ready and refuse every caller after the time of a question to a dead actor.
+def test_failed_actor_terminates_process_with_reason():
+    # The actor that owns the pools raises. If only its thread ended, the process would report that
+    # it is ready but refuse every request once the query to the dead actor has timed out.
     proc = subprocess.run(
         [sys.executable, "-c", PROGRAM], capture_output=True, text=True, timeout=15
     )
--- a/tests/core/test_app.py
+++ b/tests/core/test_app.py
@@ -1,4 +1,4 @@
-"""The life cycle of an application."""
+"""Tests for the life cycle of an application."""
 
 import subprocess
 import sys
@@ -7,21 +7,21 @@
 import os, signal, sys
 from turmerictray.core.app import Application
 
-class Part:
-    up = False
+class Recorder:
+    is_up = False
     def start(self):
-        if self.signals:
+        if self.sends_signal:
             os.kill(os.getpid(), signal.SIGTERM)
-        self.up = True
+        self.is_up = True
     def stop(self):
         print("stopped", self.name)
 
-first, second = Part(), Part()
-first.name, first.signals = "first", True
-second.name, second.signals = "second", False
+first, second = Recorder(), Recorder()
+first.name, first.sends_signal = "first", True
+second.name, second.sends_signal = "second", False
 
 def drain():
-    assert second.up, "drained a part that was not started"
+    assert second.is_up, "drained a component that was not started"
     print("drained")
     app.request_stop()
 
@@ -33,9 +33,9 @@
 """
 
 
-def test_signal_during_the_start_stops_the_application_once_it_is_up():
-    # A platform tells a router to stop while its parts are being started. The drain met a part that
-    # was not there yet and failed; the router served on and ignored all later signals.
+def test_signal_during_start_stops_application_once_started():
+    # The platform stops a router whose components are still being started. The drain used a
+    # component that had not started and failed; the router kept running and ignored later signals.
     proc = subprocess.run(
         [sys.executable, "-c", PROGRAM], capture_output=True, text=True, timeout=10
     )
--- a/tests/core/test_log_sink.py
+++ b/tests/core/test_log_sink.py
@@ -1,4 +1,4 @@
-"""Logging never makes a request wait, and never grows without bound."""
+"""Tests that logging never blocks a request and uses bounded memory."""
 
 import os
 import time
@@ -7,41 +7,41 @@
 from turmerictray.core.log_sink import LineBudget, StdoutSink
 
 
-class EndlessLines:
-    """A queue that is never empty until it ends."""
+class ContinuousLines:
+    """A queue that always has another line until it returns the end marker."""
 
     def __init__(self, count: int) -> None:
-        self._left = count
+        self._remaining = count
 
     def get(self) -> str | None:
-        self._left -= 1
-        return "line\n" if self._left > 0 else None
+        self._remaining -= 1
+        return "line\n" if self._remaining > 0 else None
 
     get_nowait = get
 
 
-def test_reader_that_stalls_costs_lines_not_time():
-    # Nobody reads the pipe. A write would block as soon as it is full, and with it the thread that
-    # serves a caller.
+def test_lines_are_dropped_if_reader_stalls():
+    # Nobody reads the pipe. Once it is full, a direct write would block the thread that serves a
+    # caller.
     reader, writer = os.pipe()
     sink = StdoutSink(writer)
-    begun = time.monotonic()
+    start = time.monotonic()
     for _ in range(20_000):
         sink("x" * 200 + "\n")
-    took = time.monotonic() - begun
+    elapsed = time.monotonic() - start
     os.close(reader)
     assert sink.dropped > 10_000
-    assert took < 2.0
+    assert elapsed < 2.0
 
 
-def test_batch_is_bounded_while_lines_keep_coming(monkeypatch):
-    # Lines come as fast as they are taken. A batch that ends only when the queue is empty holds
-    # all of them, outside the bound of the queue, and writes none.
+def test_batch_is_bounded_under_continuous_load(monkeypatch):
+    # Lines arrive as fast as they are collected. A batch that ends only when the queue is empty
+    # would collect all of them, outside the bounded queue, and write none.
     written = []
     monkeypatch.setattr(log_sink, "_write_all", lambda fd, data: written.append(data))
     sink = StdoutSink.__new__(StdoutSink)
     sink._fd = -1
-    sink._lines = EndlessLines(5000)
+    sink._lines = ContinuousLines(5000)
     sink._run()
     assert len(written) > 10
     assert max(len(data) for data in written) < 3000
@@ -58,10 +58,10 @@
     os.close(writer)
 
 
-def test_answered_requests_do_not_push_out_failures():
+def test_successes_do_not_use_up_budget_of_failures():
     budget = LineBudget(successes_per_s=5, failures_per_s=5)
-    budget._turn = lambda second: None
-    assert sum(budget.take(failed=False) for _ in range(100)) == 5
-    assert all(budget.take(failed=True) for _ in range(5))
-    assert budget.left_out() == 95
-    assert budget.left_out() == 0
+    budget._reset_if_new_second = lambda second: None
+    assert sum(budget.try_spend(failed=False) for _ in range(100)) == 5
+    assert all(budget.try_spend(failed=True) for _ in range(5))
+    assert budget.pop_dropped_count() == 95
+    assert budget.pop_dropped_count() == 0
--- a/tests/core/test_stop_actors.py
+++ b/tests/core/test_stop_actors.py
@@ -1,4 +1,4 @@
-"""A process ends though one of its actors is busy."""
+"""Tests for stopping the actors of a process while one of them is busy."""
 
 import subprocess
 import sys
@@ -27,13 +27,13 @@
 """
 
 
-def test_a_busy_actor_keeps_neither_the_others_nor_the_process():
-    """Guards against a stop that is killed at the end of its grace period."""
-    begun = time.monotonic()
+def test_busy_actor_blocks_neither_other_actors_nor_process_exit():
+    """A stop that waits for a busy actor takes until the platform kills the process."""
+    start = time.monotonic()
     proc = subprocess.run(
         [sys.executable, "-c", PROGRAM], capture_output=True, text=True, timeout=15
     )
     assert proc.returncode == 0
     assert "owner stopped" in proc.stdout
     assert "event=actor_still_busy actor=Busy" in proc.stdout
-    assert time.monotonic() - begun < 5
+    assert time.monotonic() - start < 5
--- a/tests/core/test_thread_switch.py
+++ b/tests/core/test_thread_switch.py
@@ -1,4 +1,4 @@
-"""Threads that hear and accept go on beside threads that compute."""
+"""Tests that threads doing I/O make progress beside threads that compute."""
 
 import socket
 import subprocess
@@ -8,12 +8,12 @@
 
 import pytest
 
-from turmerictray.core.app import SWITCH_S
+from turmerictray.core.app import THREAD_SWITCH_INTERVAL_S
 from turmerictray.scheduling.link import SchedulingLink
 
 BUSY_THREADS = 4
-SECONDS = 1.0
-_LOOK_S = 0.02
+CPU_SECONDS = 1.0
+_POLL_INTERVAL_S = 0.02
 
 SENDER = """
 import sys, time
@@ -30,10 +30,10 @@
 
 
 @pytest.fixture
-def switch():
-    before = sys.getswitchinterval()
+def set_switch_interval():
+    original = sys.getswitchinterval()
     yield sys.setswitchinterval
-    sys.setswitchinterval(before)
+    sys.setswitchinterval(original)
 
 
 def free_address() -> str:
@@ -42,34 +42,34 @@
         return f"tcp://127.0.0.1:{sock.getsockname()[1]}"
 
 
-def heard_in(heard: list, seconds: float) -> int:
-    """Messages heard while this process uses so many seconds of processor time.
+def count_received(received: list, cpu_seconds: float) -> int:
+    """Count the messages received while this process uses ``cpu_seconds`` of processor time.
 
-    On a machine whose processors are all in use a second of wall time holds less of it, and not the
-    same in both windows.
+    Wall time would not do: on a machine whose processors are all in use, equal periods of it can
+    give the process different amounts of processor time.
     """
-    begun, until = len(heard), time.process_time() + seconds
+    start, until = len(received), time.process_time() + cpu_seconds
     while time.process_time() < until:
-        time.sleep(_LOOK_S)
-    return len(heard) - begun
+        time.sleep(_POLL_INTERVAL_S)
+    return len(received) - start
 
 
-def test_messages_are_heard_beside_busy_threads(switch):
-    """Guards against a receiving thread that waits for a long turn of each busy one."""
-    heard, done = [], threading.Event()
-    link = SchedulingLink(free_address(), heard.append)
+def test_messages_are_heard_beside_busy_threads(set_switch_interval):
+    """Guards against receiving threads that wait a full default interval for each busy thread."""
+    received, done = [], threading.Event()
+    link = SchedulingLink(free_address(), received.append)
     link.start()
-    sender = subprocess.Popen([sys.executable, "-c", SENDER, link.address, str(SECONDS)])
+    sender = subprocess.Popen([sys.executable, "-c", SENDER, link.address, str(CPU_SECONDS)])
     busy = [threading.Thread(target=_compute, args=(done,)) for _ in range(BUSY_THREADS)]
     try:
-        while not heard:
+        while not received:
             time.sleep(0.01)
         for thread in busy:
             thread.start()
-        switch(0.005)
-        before = heard_in(heard, SECONDS)
-        switch(SWITCH_S)
-        after = heard_in(heard, SECONDS)
+        set_switch_interval(0.005)
+        count_at_default = count_received(received, CPU_SECONDS)
+        set_switch_interval(THREAD_SWITCH_INTERVAL_S)
+        count_at_short_interval = count_received(received, CPU_SECONDS)
     finally:
         done.set()
         for thread in busy:
@@ -77,7 +77,7 @@
         sender.kill()
         sender.wait()
         link.stop()
-    assert after > 3 * before
+    assert count_at_short_interval > 3 * count_at_default
 
 
 def _compute(done: threading.Event) -> None:
@@ -85,7 +85,7 @@
         sum(range(200))
 
 
-def test_a_program_sets_its_threads_turns():
+def test_application_sets_thread_switch_interval():
     code = (
         "import sys\n"
         "from turmerictray.core.app import Application\n"
@@ -95,4 +95,4 @@
         "print(sys.getswitchinterval())\n"
     )
     out = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    assert float(out.stdout.split()[-1]) == SWITCH_S
+    assert float(out.stdout.split()[-1]) == THREAD_SWITCH_INTERVAL_S
--- a/tests/orders/test_claims_stateful.py
+++ b/tests/orders/test_claims_stateful.py
@@ -4,7 +4,7 @@
 from hypothesis import settings
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from turmerictray.config.schema import CutPolicy
+from turmerictray.config.schema import PartitionPolicy
 from turmerictray.core.ids import NodeId, ZoneId
 from turmerictray.core.member import Member
 from turmerictray.orders.keys import ClaimKey
@@ -104,7 +104,7 @@
     def _finish(self, order: Order) -> None:
         self.pending.remove(order)
         in_time = self.now - order.requested_at <= VOTES_VALID_S
-        if in_time and decide(order.votes, CutPolicy.REFUSE) is Verdict.GRANTED:
+        if in_time and decide(order.votes, PartitionPolicy.REFUSE) is Verdict.GRANTED:
             self.executed[order.key].append(self.now)
 
     @invariant()
--- a/tests/orders/test_orders_across_routers.py
+++ b/tests/orders/test_orders_across_routers.py
@@ -9,7 +9,7 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from tests.orders.fakes import CONFIG, GrantingDispatcher, GrantingReplica, UncalledUpstream
-from turmerictray.config.schema import CutPolicy, ServiceKind
+from turmerictray.config.schema import PartitionPolicy, ServiceKind
 from turmerictray.core.errors import ClaimUnavailable
 from turmerictray.core.ids import NodeId, RequestId, ServiceName, TargetId, TeamId
 from turmerictray.core.member import Member
@@ -194,7 +194,7 @@
     # both would run. Its claim is too old to use, although the replicas may still store it.
     claim = proxy.guard.acquire(
         claim_key(TeamId("depot"), ServiceName("orders"), RequestId("van-8")),
-        CutPolicy.REFUSE,
+        PartitionPolicy.REFUSE,
         300.0,
         1.0,
     )
--- a/tests/platform/conftest.py
+++ b/tests/platform/conftest.py
@@ -1,23 +1,23 @@
-"""Deployments on loopback and the steps that the platform's features share."""
+"""Fixtures for local deployments, and the steps that the platform's features share."""
 
 import time
 
 import pytest
 from pytest_bdd import given, parsers, then, when
 
-from turmerictray.platform.standins.caller import PROMPT, RawCaller
+from turmerictray.platform.standins.caller import PROMPT_HEADERS, RawCaller
 from turmerictray.platform.standins.local import LocalDeployment, default_config
 from turmerictray.platform.standins.store import StoreTrouble
 from turmerictray.platform.standins.worker import WorkerFault
 
-_SEEN_S = 3.0
+_DEFAULT_TIMEOUT_S = 3.0
 
 
-def wait_for(condition, within_s: float = _SEEN_S) -> bool:
-    """Wait until ``condition()`` holds; false when it does not in time."""
-    until = time.monotonic() + within_s
+def wait_for(condition, within_s: float = _DEFAULT_TIMEOUT_S) -> bool:
+    """Wait until ``condition()`` holds; return False if it does not within the time limit."""
+    deadline = time.monotonic() + within_s
     while not condition():
-        if time.monotonic() > until:
+        if time.monotonic() > deadline:
             return False
         time.sleep(0.02)
     return True
@@ -25,11 +25,11 @@
 
 @pytest.fixture
 def start_deployment(tmp_path):
-    """Start a :class:`LocalDeployment`; stop it after the test."""
+    """Start a :class:`LocalDeployment`, and stop it after the test."""
     started: list[LocalDeployment] = []
 
-    def start(**parts) -> LocalDeployment:
-        deployment = LocalDeployment(tmp_path, **parts)
+    def start(**options) -> LocalDeployment:
+        deployment = LocalDeployment(tmp_path, **options)
         started.append(deployment)
         return deployment.start()
 
@@ -40,7 +40,7 @@
 
 @pytest.fixture
 def caller_to():
-    """Open raw connections to routers; close them after the test."""
+    """Open raw connections to routers, and close them after the test."""
     opened: list[RawCaller] = []
 
     def connect(router) -> RawCaller:
@@ -57,31 +57,32 @@
     return start_deployment(routers=routers)
 
 
-@given("a deployment whose budget of repeats is used up", target_fixture="deployment")
-def deployment_without_repeats(start_deployment):
-    return start_deployment(routers=1, repeats=0)
+@given("a deployment whose retry budget is exhausted", target_fixture="deployment")
+def deployment_without_retries(start_deployment):
+    return start_deployment(routers=1, min_retries=0)
 
 
-@given(parsers.parse("the next {count:d} requests at {service} workers meet {fault}"))
-def next_requests_meet(deployment, count, service, fault):
+@given(parsers.parse("the next {count:d} requests to {service} workers trigger {fault}"))
+def next_requests_trigger(deployment, count, service, fault):
     for worker in deployment.of_service(service):
-        worker.plan.faults.extend([WorkerFault(fault)] * count)
+        worker.behaviour.faults.extend([WorkerFault(fault)] * count)
 
 
-@given(parsers.parse("one {service} worker meets {fault}"))
-def one_worker_meets(deployment, service, fault):
-    # The request goes to either worker; whichever it is, only the first one has the fault.
-    shared = deployment.of_service(service)[0].plan.faults
-    shared.append(WorkerFault(fault))
+@given(parsers.parse("one {service} worker has the fault {fault}"))
+def one_worker_has_fault(deployment, service, fault):
+    # All workers share one list of faults, so the first worker to get the request consumes the
+    # fault, whichever it is.
+    shared_faults = deployment.of_service(service)[0].behaviour.faults
+    shared_faults.append(WorkerFault(fault))
     for worker in deployment.of_service(service):
-        worker.plan.faults = shared
+        worker.behaviour.faults = shared_faults
 
 
 @given(parsers.parse("streams that last {seconds:d} seconds"))
 def long_streams(deployment, seconds):
     for worker in deployment.of_service("llm"):
-        worker.plan.events = seconds * 10
-        worker.plan.pause_s = 0.1
+        worker.behaviour.event_count = seconds * 10
+        worker.behaviour.event_interval_s = 0.1
 
 
 @when(parsers.parse("a caller sends {method} {target}"))
@@ -90,14 +91,14 @@
     ctx["answer"] = ctx["caller"].request(method, target, b"crates" if method == "POST" else b"")
 
 
-@when(parsers.parse("a caller asks for the stream {target}"))
-def ask_stream(deployment, caller_to, ctx, target):
+@when(parsers.parse("a caller requests the stream {target}"))
+def request_stream(deployment, caller_to, ctx, target):
     ctx["caller"] = caller_to(deployment.routers[0])
-    ctx["answer"] = ctx["caller"].request("POST", target, b"prompt", **PROMPT)
+    ctx["answer"] = ctx["caller"].request("POST", target, b"prompt", **PROMPT_HEADERS)
 
 
-@when(parsers.parse("the store is {trouble}"))
-def store_trouble(deployment, trouble):
+@when(parsers.parse("the store fails with {trouble}"))
+def store_fails(deployment, trouble):
     deployment.store.store.trouble = StoreTrouble(trouble)
 
 
@@ -110,7 +111,7 @@
 
 @then(parsers.parse("the answer is {status:d}"))
 def answer_is(ctx, status):
-    assert ctx["answer"].whole
+    assert ctx["answer"].complete
     assert ctx["answer"].status == status, ctx["answer"]
 
 
@@ -120,11 +121,11 @@
     assert len(ran) == count, ran
 
 
-@then("the answer says when to come back")
-def says_when(ctx):
+@then("the answer has a Retry-After header")
+def has_retry_after(ctx):
     assert 0 < float(ctx["answer"].headers["Retry-After"]) < 5
 
 
-@then("the answer is not a worker's")
-def not_signed(ctx):
+@then("the answer comes from the router")
+def answer_is_not_sealed(ctx):
     assert "X-Server-Seal" not in ctx["answer"].headers
--- a/tests/platform/features/answers.feature
+++ b/tests/platform/features/answers.feature
@@ -1,8 +1,8 @@
-Feature: Every caller gets its own whole answer, and refusals are true
+Feature: Each caller receives the complete answer to its own request, and refusals are truthful
 
-  Scenario Outline: A request that a worker did not run is sent to another one
+  Scenario Outline: A request that a worker did not run is sent to another worker
     Given a deployment with 1 router(s)
-    And one app worker meets shed
+    And one app worker has the fault shed
     When a caller sends <method> <target>
     Then the answer is 200
     And 1 app request(s) ran
@@ -12,12 +12,12 @@
       | POST   | /order/1   |
       | GET    | /ping/1?a= |
 
-  Scenario Outline: A request that may not be repeated and may have run is not sent again
+  Scenario Outline: A request that must not be repeated and may have run is not retried
     Given a deployment with 1 router(s)
-    And the next 2 requests at app workers meet <fault>
+    And the next 2 requests to app workers trigger <fault>
     When a caller sends POST /order/1
     Then the answer is 502
-    And the answer is not a worker's
+    And the answer comes from the router
     And 1 app request(s) ran
 
     Examples:
@@ -28,17 +28,17 @@
       | unsigned        |
       | truncated       |
 
-  Scenario: A refusal promises that nothing ran
+  Scenario: A request that all workers refused has not run
     Given a deployment with 1 router(s)
-    And the next 4 requests at app workers meet shed
+    And the next 4 requests to app workers trigger shed
     When a caller sends GET /ping/1
     Then the answer is 503
-    And the answer says when to come back
+    And the answer has a Retry-After header
     And 0 app request(s) ran
 
-  Scenario Outline: A request that may be repeated is sent to another worker
+  Scenario Outline: An idempotent request is retried on another worker
     Given a deployment with 1 router(s)
-    And one app worker meets <fault>
+    And one app worker has the fault <fault>
     When a caller sends GET /ping/1
     Then the answer is 200
 
@@ -50,37 +50,37 @@
       | other_id        |
       | hang            |
 
-  Scenario: A worker's own failure is passed on as it is
+  Scenario: An error response of a worker is forwarded unchanged
     Given a deployment with 1 router(s)
-    And the next 4 requests at app workers meet error
+    And the next 4 requests to app workers trigger error
     When a caller sends GET /ping/1
     Then the answer is 500
-    And the answer is the worker's
+    And the answer comes from the worker
 
-  Scenario: An answer without a length ends with its connection
+  Scenario: An answer without a length ends when the connection is closed
     Given a deployment with 1 router(s)
-    And one app worker meets no_length
+    And one app worker has the fault no_length
     When a caller sends POST /order/1
     Then the answer is 200
 
-  Scenario: A second answer on a connection goes to nobody
+  Scenario: An extra answer on a connection is discarded
     Given a deployment with 1 router(s)
-    And the next 3 requests at app workers meet extra_answer
+    And the next 3 requests to app workers trigger extra_answer
     When one caller sends 12 orders one after the other
-    Then each got the answer to its own order
+    Then each order received its own answer
 
-  Scenario: The answer is due at the route's time-out
+  Scenario: An unanswered request fails at the route's timeout
     Given a deployment with 1 router(s)
-    And the next 2 requests at app workers meet hang
+    And the next 2 requests to app workers trigger hang
     When a caller sends POST /order/1
     Then the answer is 504
-    And it came between 2.9 and 3.4 seconds after the request
-    And the worker was left at once
+    And the answer took between 2.9 and 3.4 seconds
+    And the request to the worker is cancelled within a second
 
-  Scenario: A request whose repeat the budget forbids gets its final answer at once
-    Given a deployment whose budget of repeats is used up
-    And the next 2 requests at app workers meet reset_after_run
+  Scenario: A request that the retry budget does not allow to retry fails at once
+    Given a deployment whose retry budget is exhausted
+    And the next 2 requests to app workers trigger reset_after_run
     When a caller sends GET /ping/1
     Then the answer is 502
-    And it came between 0 and 0.5 seconds after the request
+    And the answer took between 0 and 0.5 seconds
     And 1 app request(s) ran
--- a/tests/platform/features/streams.feature
+++ b/tests/platform/features/streams.feature
@@ -1,54 +1,54 @@
-Feature: Streams reach the caller whole, in order and without joins
+Feature: Streams reach the caller complete, in order and without visible resumption
 
-  Scenario: Events are passed on
+  Scenario: Events are forwarded
     Given a deployment with 1 router(s)
-    When a caller asks for the stream /plan/1
+    When a caller requests the stream /plan/1
     Then the answer is 200
-    And the caller has the events 1 to 5
+    And the caller received the events 1 to 5
 
-  Scenario Outline: A broken stream that may be resumed goes on at another engine
+  Scenario Outline: A broken resumable stream continues on another engine
     Given a deployment with 1 router(s)
-    And one llm worker meets <fault>
-    When a caller asks for the stream /plan/1
+    And one llm worker has the fault <fault>
+    When a caller requests the stream /plan/1
     Then the answer is 200
-    And the caller has the events 1 to 5
+    And the caller received the events 1 to 5
 
     Examples:
       | fault         |
       | broken_stream |
       | silent_stream |
 
-  Scenario: A broken stream that may not be resumed does not look complete
+  Scenario: A broken stream that is not resumable is visibly truncated
     Given a deployment with 1 router(s)
-    And one llm worker meets broken_stream
-    When a caller asks for the stream /recon/1
-    Then the answer ends early
-    And the caller has the events 1 to 2
+    And one llm worker has the fault broken_stream
+    When a caller requests the stream /recon/1
+    Then the answer is truncated
+    And the caller received the events 1 to 2
     And 1 llm request(s) ran
 
-  Scenario: A caller that hangs up in the middle of a stream
+  Scenario: A caller disconnects during a stream
     Given a deployment with 1 router(s)
     And streams that last 10 seconds
-    When a caller hangs up after the first event of /plan/1
-    Then the engine is told within half a second
+    When a caller disconnects after the first event of /plan/1
+    Then the request to the engine is cancelled within half a second
 
-  Scenario: A caller that hangs up before the first event
+  Scenario: A caller disconnects before the first event
     Given a deployment with 1 router(s)
-    And the next 2 requests at llm workers meet hang
-    When a caller hangs up while it waits for /plan/1
-    Then the engine is told within half a second
+    And the next 2 requests to llm workers trigger hang
+    When a caller disconnects while it waits for /plan/1
+    Then the request to the engine is cancelled within half a second
 
-  Scenario: A stream is ended at the route's time-out
+  Scenario: A stream is truncated at the route's timeout
     Given a deployment with 1 router(s)
     And streams that last 10 seconds
-    When a caller asks for the stream /plan/1
-    Then the answer ends early
+    When a caller requests the stream /plan/1
+    Then the answer is truncated
     And the stream lasted between 2.9 and 3.4 seconds
-    And no engine counts as failing
+    And no engine failure is recorded
 
-  Scenario: A stream that failed at one engine and is cut at another does not look complete
+  Scenario: A stream that is retried and reaches the route's timeout is visibly truncated
     Given a deployment with 1 router(s)
     And streams that last 10 seconds
-    And one llm worker meets error
-    When a caller asks for the stream /plan/1
-    Then the answer ends early
+    And one llm worker has the fault error
+    When a caller requests the stream /plan/1
+    Then the answer is truncated
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""What operators and targets write, decoded once into the product's types."""
+"""Decoding of what operators and targets write to the store."""
 
 import json
 
@@ -8,7 +8,7 @@
 
 from turmerictray.config.routes import RouteKind
 from turmerictray.core.errors import ConfigError
-from turmerictray.platform.documents import decode_target, decode_text
+from turmerictray.platform.documents import decode_routing_config, decode_target
 from turmerictray.platform.standins.local import default_config
 
 
@@ -16,10 +16,10 @@
     return json.dumps(doc).encode()
 
 
-def test_text_is_decoded_with_its_units():
+def test_configuration_is_decoded_with_units():
     config = default_config(7)
     config["limits"] = {"max_header_bytes": 100, "idle_timeout_ms": 15000, "tokens_per_s": 5}
-    text = decode_text(encode(config))
+    text = decode_routing_config(encode(config))
     assert text.version == 7
     plan = text.match("shop.example", "/plan/1")
     assert (plan.kind, plan.resumable, plan.max_attempts) == (RouteKind.STREAMING, True, 2)
@@ -33,7 +33,7 @@
 def test_unknown_fields_are_ignored():
     config = default_config(1, colour="blue")
     config["routes"][0]["new"] = {"deep": [1]}
-    assert decode_text(encode(config)).version == 1
+    assert decode_routing_config(encode(config)).version == 1
 
 
 def test_route_split_over_services():
@@ -41,7 +41,7 @@
     route = config["routes"][0]
     del route["service"]
     route["backends"] = [{"service": "a", "weight": 90}, {"service": "b", "weight": 10}]
-    found = decode_text(encode(config)).match("shop.example", "/order/1")
+    found = decode_routing_config(encode(config)).match("shop.example", "/order/1")
     assert [found.service_for(draw) for draw in (0.0, 0.89, 0.91)] == ["a", "a", "b"]
 
 
@@ -56,20 +56,20 @@
 )
 def test_errors_name_the_field(change, field):
     with pytest.raises(ConfigError) as caught:
-        decode_text(encode({**default_config(1), **change}))
+        decode_routing_config(encode({**default_config(1), **change}))
     assert field in caught.value.reason
 
 
-def test_route_to_nowhere_is_refused():
+def test_route_without_service_is_refused():
     config = default_config(1)
     del config["routes"][0]["service"]
     with pytest.raises(ConfigError, match="neither service nor backends"):
-        decode_text(encode(config))
+        decode_routing_config(encode(config))
 
 
 @given(st.binary(max_size=300))
 def test_any_bytes_are_decoded_or_refused(data):
-    for decode in (decode_text, lambda raw: decode_target("i-1", raw)):
+    for decode in (decode_routing_config, lambda raw: decode_target("i-1", raw)):
         try:
             decode(data)
         except ConfigError:
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -1,4 +1,4 @@
-"""Entries of targets: restarts under the same name, and entries by other writers."""
+"""Entries of targets: restarts, invalid entries, expiry and restored stores."""
 
 import json
 from dataclasses import replace
@@ -29,24 +29,27 @@
 NAME = TargetName("i-1")
 
 
-def at(revision: int, era: int = 0) -> StorePosition:
+def pos(revision: int, era: int = 0) -> StorePosition:
+    """Return a position in the store."""
     return StorePosition(era, revision)
 
 
-def item(revision: int, name: str = "i-1", **changes) -> Item:
-    return Item(f"servers/{name}", json.dumps({**GOOD, **changes}).encode(), at(revision))
+def make_item(revision: int, name: str = "i-1", **changes) -> Item:
+    """Return the entry of a target, with some fields changed."""
+    return Item(f"servers/{name}", json.dumps({**GOOD, **changes}).encode(), pos(revision))
 
 
-def removed(revision: int, name: str = "i-1") -> Item:
-    return Item(f"servers/{name}", None, at(revision))
+def removal(revision: int, name: str = "i-1") -> Item:
+    """Return the removal of an entry."""
+    return Item(f"servers/{name}", None, pos(revision))
 
 
-def without(field: str) -> bytes:
+def entry_without(field: str) -> bytes:
     return json.dumps({key: val for key, val in GOOD.items() if key != field}).encode()
 
 
 BAD_VALUES = [
-    *[without(field) for field in GOOD if field != "born"],
+    *[entry_without(field) for field in GOOD if field != "born"],
     *[
         json.dumps({**GOOD, **change}).encode()
         for change in (
@@ -83,64 +86,64 @@
 
 
 @pytest.mark.parametrize("value", BAD_VALUES)
-def test_an_entry_by_another_writer_names_no_target(value):
-    """Guards against requests to an address that no target has written."""
+def test_invalid_entry_removes_target(value):
+    """Guards against requests to an address that was not written by a target."""
     with pytest.raises(ConfigError):
         decode_target(NAME, value)
     entries = TargetEntries()
-    entries.take_all([item(1), item(2, "i-2")], 0.0, 0.0, at(2))
-    changes = entries.take([Item("servers/i-1", value, at(3))], 1.0, 0.0)
-    assert changes.gone == ["i-1@1000"]
+    entries.apply_snapshot([make_item(1), make_item(2, "i-2")], 0.0, 0.0, pos(2))
+    changes = entries.apply_changes([Item("servers/i-1", value, pos(3))], 1.0, 0.0)
+    assert changes.removed == ["i-1@1000"]
     assert [info.id for info in entries.targets()] == ["i-2@1000"]
-    back = entries.take([item(4)], 2.0, 0.0)
+    back = entries.apply_changes([make_item(4)], 2.0, 0.0)
     assert [info.id for info in back.changed] == ["i-1@1000"]
 
 
-def test_an_entry_without_born_goes_by_its_name():
-    assert decode_target(NAME, without("born")).id == "i-1"
+def test_entry_without_start_time_uses_name_as_id():
+    assert decode_target(NAME, entry_without("born")).id == "i-1"
 
 
-def test_states_have_phases():
-    assert decode_target(NAME, item(1).value).phase is TargetPhase.READY
-    assert decode_target(NAME, item(1, state="draining").value).phase is TargetPhase.LEAVING
+def test_states_are_mapped_to_phases():
+    assert decode_target(NAME, make_item(1).value).phase is TargetPhase.READY
+    assert decode_target(NAME, make_item(1, state="draining").value).phase is TargetPhase.LEAVING
 
 
-def test_a_restart_under_the_same_name_is_another_target():
-    """Guards against a new engine that is taken for the one that has ended."""
+def test_restart_under_same_name_is_a_new_target():
+    """Guards against treating a new engine as the stopped one of the same name."""
     entries = TargetEntries()
-    entries.take_all([item(1, state="draining")], 0.0, 0.0, at(1))
-    changes = entries.take([item(2, born=2000)], 1.0, 0.0)
-    assert changes.gone == ["i-1@1000"]
+    entries.apply_snapshot([make_item(1, state="draining")], 0.0, 0.0, pos(1))
+    changes = entries.apply_changes([make_item(2, born=2000)], 1.0, 0.0)
+    assert changes.removed == ["i-1@1000"]
     (info,) = changes.changed
     assert (info.id, info.instance_name, info.phase) == ("i-1@2000", "i-1", TargetPhase.READY)
 
 
-def test_a_clock_that_stepped_back_hides_no_restart():
+def test_restart_is_detected_although_clock_was_set_back():
     entries = TargetEntries()
-    entries.take_all([item(1, born=5000)], 0.0, 0.0, at(1))
-    assert entries.take([item(2, born=300)], 1.0, 0.0).gone == ["i-1@5000"]
+    entries.apply_snapshot([make_item(1, born=5000)], 0.0, 0.0, pos(1))
+    assert entries.apply_changes([make_item(2, born=300)], 1.0, 0.0).removed == ["i-1@5000"]
 
 
-def test_late_words_bring_no_incarnation_back():
+def test_delayed_items_do_not_restore_earlier_incarnation():
     entries = TargetEntries()
-    entries.take_all([item(1)], 0.0, 0.0, at(1))
-    entries.take([item(5, born=2000)], 1.0, 0.0)
-    assert not entries.take([item(3, state="draining")], 1.0, 0.0)
-    assert not entries.take([removed(4)], 1.0, 0.0)
+    entries.apply_snapshot([make_item(1)], 0.0, 0.0, pos(1))
+    entries.apply_changes([make_item(5, born=2000)], 1.0, 0.0)
+    assert not entries.apply_changes([make_item(3, state="draining")], 1.0, 0.0)
+    assert not entries.apply_changes([removal(4)], 1.0, 0.0)
     assert [info.id for info in entries.targets()] == ["i-1@2000"]
-    entries.take([removed(6)], 2.0, 0.0)
-    assert not entries.take([item(5, born=2000)], 2.0, 0.0)
+    entries.apply_changes([removal(6)], 2.0, 0.0)
+    assert not entries.apply_changes([make_item(5, born=2000)], 2.0, 0.0)
     assert entries.targets() == []
 
 
-def test_a_missing_entry_is_kept_until_it_may_not_come_back():
+def test_target_with_missing_entry_is_kept_until_deadline():
     entries = TargetEntries()
-    entries.take_all([item(1), item(2, "i-2")], 0.0, 0.0, at(2))
-    assert not entries.take_all([item(2, "i-2")], 10.0, 12.0, at(9))
-    assert entries.next_lapse_s(10.0) == 2.0
-    assert not entries.lapse(11.9)
-    assert entries.lapse(12.0).gone == ["i-1@1000"]
-    assert entries.next_lapse_s(12.0) is None
+    entries.apply_snapshot([make_item(1), make_item(2, "i-2")], 0.0, 0.0, pos(2))
+    assert not entries.apply_snapshot([make_item(2, "i-2")], 10.0, 12.0, pos(9))
+    assert entries.next_timeout_s(10.0) == 2.0
+    assert not entries.apply_timeouts(11.9)
+    assert entries.apply_timeouts(12.0).removed == ["i-1@1000"]
+    assert entries.next_timeout_s(12.0) is None
 
 
 json_values = st.recursive(
@@ -148,20 +151,23 @@
     lambda inner: st.lists(inner, max_size=2) | st.dictionaries(st.text(max_size=4), inner),
     max_leaves=4,
 )
-foreign = st.binary(max_size=60) | st.builds(
+invalid_values = st.binary(max_size=60) | st.builds(
     lambda changes: json.dumps({**GOOD, **changes}).encode(),
     st.dictionaries(st.sampled_from(sorted(GOOD)), json_values, min_size=1, max_size=3),
 )
 
 
-@given(st.lists(st.tuples(st.sampled_from(["i-1", "i-2", ""]), foreign), max_size=8))
-def test_foreign_entries_never_touch_the_others(writes):
+@given(st.lists(st.tuples(st.sampled_from(["i-1", "i-2", ""]), invalid_values), max_size=8))
+def test_invalid_entries_do_not_affect_other_targets(writes):
     entries = TargetEntries()
-    entries.take_all([item(1, "i-good")], 0.0, 0.0, at(1))
+    entries.apply_snapshot([make_item(1, "i-good")], 0.0, 0.0, pos(1))
     for revision, (name, value) in enumerate(writes, start=2):
-        entries.take([Item(f"servers/{name}", value, at(revision))], 0.0, 0.0)
-    entries.take_all(
-        [item(1, "i-good"), *(Item(f"servers/{n}", v, at(99)) for n, v in writes)], 0.0, 0.0, at(99)
+        entries.apply_changes([Item(f"servers/{name}", value, pos(revision))], 0.0, 0.0)
+    entries.apply_snapshot(
+        [make_item(1, "i-good"), *(Item(f"servers/{n}", v, pos(99)) for n, v in writes)],
+        0.0,
+        0.0,
+        pos(99),
     )
     named = {info.instance_name: info for info in entries.targets()}
     assert named[TargetName("i-good")].id == "i-good@1000"
@@ -169,8 +175,8 @@
         assert info.slots >= 1 and info.address.rpartition(":")[2].isdigit()
 
 
-def copied(reader: TargetEntries, now: float) -> PublishedDocs:
-    """What a peer would take from a reader at that time."""
+def published_docs(reader: TargetEntries, now: float) -> PublishedDocs:
+    """Return the documents that a peer would fetch from a reader at that time."""
     position = reader.position
     return PublishedDocs(
         targets=reader.published(now),
@@ -179,104 +185,113 @@
     )
 
 
-def test_a_lapsed_target_goes_from_routers_that_do_not_read_as_well():
-    """Guards against a copied target whose time is over where nothing tells so."""
-    reader, other = TargetEntries(), TargetEntries()
-    reader.take_all([item(1), item(2, "i-2")], 0.0, 0.0, at(2))
-    other.take_copy(copied(reader, 0.0), 0.0)
-    reader.take_all([item(2, "i-2")], 10.0, 12.2, at(9))
-    assert reader.position > other.position
-    other.take_copy(copied(reader, 10.5), 10.5)
-    assert [info.instance_name for info in other.targets()] == ["i-1", "i-2"]
-    assert other.next_lapse_s(10.5) == pytest.approx(1.7)
-    assert other.lapse(12.3).gone == ["i-1@1000"]
+def test_target_also_expires_on_routers_that_do_not_read_store():
+    """Guards against a target that never expires on a router that learned of it from a peer.
 
+    The expiry changes nothing in the store, so no newer document reports it.
+    """
+    reader, peer = TargetEntries(), TargetEntries()
+    reader.apply_snapshot([make_item(1), make_item(2, "i-2")], 0.0, 0.0, pos(2))
+    peer.apply_peer_docs(published_docs(reader, 0.0), 0.0)
+    reader.apply_snapshot([make_item(2, "i-2")], 10.0, 12.2, pos(9))
+    assert reader.position > peer.position
+    peer.apply_peer_docs(published_docs(reader, 10.5), 10.5)
+    assert [info.instance_name for info in peer.targets()] == ["i-1", "i-2"]
+    assert peer.next_timeout_s(10.5) == pytest.approx(1.7)
+    assert peer.apply_timeouts(12.3).removed == ["i-1@1000"]
 
-def test_a_copy_of_a_lapsing_target_does_not_bring_it_back():
-    reader, other = TargetEntries(), TargetEntries()
-    for entries in (reader, other):
-        entries.take_all([item(1), item(2, "i-2")], 0.0, 0.0, at(2))
-    reader.take([removed(5)], 10.0, 12.2)
-    other.take([removed(5)], 10.0, 0.0)
-    assert not other.take_copy(copied(reader, 10.5), 10.5)
-    assert [info.instance_name for info in other.targets()] == ["i-2"]
 
+def test_expiring_target_of_a_peer_does_not_return():
+    reader, peer = TargetEntries(), TargetEntries()
+    for entries in (reader, peer):
+        entries.apply_snapshot([make_item(1), make_item(2, "i-2")], 0.0, 0.0, pos(2))
+    reader.apply_changes([removal(5)], 10.0, 12.2)
+    peer.apply_changes([removal(5)], 10.0, 0.0)
+    assert not peer.apply_peer_docs(published_docs(reader, 10.5), 10.5)
+    assert [info.instance_name for info in peer.targets()] == ["i-2"]
 
-def test_a_copied_entry_that_can_not_be_read_names_no_target():
+
+def test_unreadable_entry_of_a_peer_removes_target():
     entries = TargetEntries()
-    entries.take_all([item(1)], 0.0, 0.0, at(1))
+    entries.apply_snapshot([make_item(1)], 0.0, 0.0, pos(1))
     docs = PublishedDocs(targets={"i-1": PublishedEntry("%%%", 2)}, targets_revision=2)
-    assert entries.take_copy(docs, 1.0).gone == ["i-1@1000"]
+    assert entries.apply_peer_docs(docs, 1.0).removed == ["i-1@1000"]
 
 
-def item_of(era: int, revision: int, name: str = "i-1", **changes) -> Item:
-    """An item as of an era."""
-    return replace(item(revision, name, **changes), position=at(revision, era))
+def item_in_era(era: int, revision: int, name: str = "i-1", **changes) -> Item:
+    """Return the entry of a target as of an era."""
+    return replace(make_item(revision, name, **changes), position=pos(revision, era))
 
 
-def test_the_list_of_a_new_era_goes_before_higher_revisions():
-    """Guards against entries that are dropped until the new numbers have caught up."""
+def test_snapshot_of_new_era_takes_precedence_over_higher_revisions():
+    """Guards against ignoring entries until the new revisions exceed those of the old era."""
     entries = TargetEntries()
-    entries.take_all([item_of(1, 50)], 0.0, 0.0, at(50, 1))
-    changes = entries.take_all([item_of(2, 7, born=2000)], 1.0, 3.2, at(9, 2))
-    assert changes.gone == ["i-1@1000"]
+    entries.apply_snapshot([item_in_era(1, 50)], 0.0, 0.0, pos(50, 1))
+    changes = entries.apply_snapshot([item_in_era(2, 7, born=2000)], 1.0, 3.2, pos(9, 2))
+    assert changes.removed == ["i-1@1000"]
     assert [info.id for info in entries.targets()] == ["i-1@2000"]
-    assert entries.take([item_of(2, 10, state="draining", born=2000)], 1.0, 0.0)
+    assert entries.apply_changes([item_in_era(2, 10, state="draining", born=2000)], 1.0, 0.0)
 
 
-def test_a_copy_of_the_old_era_changes_nothing():
-    """Guards against a peer whose higher revision is taken for the newest."""
+def test_documents_of_old_era_are_ignored():
+    """Guards against taking a higher revision of an older era for the newest."""
     old, new = TargetEntries(), TargetEntries()
-    old.take_all([item_of(1, 50), item_of(1, 51, "i-2")], 0.0, 0.0, at(51, 1))
-    new.take_all([item_of(2, 7, born=2000)], 1.0, 0.0, at(7, 2))
+    old.apply_snapshot([item_in_era(1, 50), item_in_era(1, 51, "i-2")], 0.0, 0.0, pos(51, 1))
+    new.apply_snapshot([item_in_era(2, 7, born=2000)], 1.0, 0.0, pos(7, 2))
     assert old.position < new.position
-    assert not new.take_copy(copied(old, 1.0), 1.0)
-    old.take_copy(copied(new, 1.0), 1.0)
+    assert not new.apply_peer_docs(published_docs(old, 1.0), 1.0)
+    old.apply_peer_docs(published_docs(new, 1.0), 1.0)
     assert [info.id for info in old.targets()] == ["i-1@2000"]
 
 
-def test_what_a_copy_misses_is_kept_until_it_may_be_written_again():
+def test_target_missing_from_backup_is_kept_until_deadline():
     entries = TargetEntries()
-    entries.take_all([item_of(1, 50), item_of(1, 51, "i-2")], 0.0, 0.0, at(51, 1))
-    assert not entries.take_all([item_of(2, 50)], 1.0, 3.2, at(50, 2))
-    assert not entries.take([item_of(2, 51, "i-2")], 2.0, 3.2)
-    assert not entries.lapse(9.0)
-    entries.take_all([item_of(3, 50)], 10.0, 12.2, at(50, 3))
-    assert entries.lapse(12.2).gone == ["i-2@1000"]
+    entries.apply_snapshot([item_in_era(1, 50), item_in_era(1, 51, "i-2")], 0.0, 0.0, pos(51, 1))
+    assert not entries.apply_snapshot([item_in_era(2, 50)], 1.0, 3.2, pos(50, 2))
+    assert not entries.apply_changes([item_in_era(2, 51, "i-2")], 2.0, 3.2)
+    assert not entries.apply_timeouts(9.0)
+    entries.apply_snapshot([item_in_era(3, 50)], 10.0, 12.2, pos(50, 3))
+    assert entries.apply_timeouts(12.2).removed == ["i-2@1000"]
 
 
-def test_a_target_that_was_gone_is_not_believed_because_a_copy_lists_it():
-    """Guards against requests to what has ended since the copy was made."""
+def test_removed_target_listed_by_backup_is_not_trusted():
+    """Guards against requests to targets that stopped after the backup was made."""
     entries = TargetEntries()
-    entries.take_all([item_of(1, 50), item_of(1, 51, "i-2")], 0.0, 0.0, at(51, 1))
-    entries.take([replace(removed(52), position=at(52, 1))], 1.0, 0.0)
-    entries.take([item_of(1, 53, "i-2", born=2000)], 1.0, 0.0)
-    listed = [item_of(2, 50), item_of(2, 51, "i-2")]
-    assert not entries.take_all(listed, 2.0, 4.2, at(51, 2))
+    entries.apply_snapshot([item_in_era(1, 50), item_in_era(1, 51, "i-2")], 0.0, 0.0, pos(51, 1))
+    entries.apply_changes([replace(removal(52), position=pos(52, 1))], 1.0, 0.0)
+    entries.apply_changes([item_in_era(1, 53, "i-2", born=2000)], 1.0, 0.0)
+    listed = [item_in_era(2, 50), item_in_era(2, 51, "i-2")]
+    assert not entries.apply_snapshot(listed, 2.0, 4.2, pos(51, 2))
     assert [info.id for info in entries.targets()] == ["i-2@2000"]
-    assert [info.id for info in entries.take([item_of(2, 52)], 3.0, 0.0).changed] == ["i-1@1000"]
-    entries.take([replace(removed(53, "i-2"), position=at(53, 2))], 3.0, 4.2)
-    entries.take([item_of(2, 54, "i-2", born=2000)], 3.5, 4.2)
+    assert [info.id for info in entries.apply_changes([item_in_era(2, 52)], 3.0, 0.0).changed] == [
+        "i-1@1000"
+    ]
+    entries.apply_changes([replace(removal(53, "i-2"), position=pos(53, 2))], 3.0, 4.2)
+    entries.apply_changes([item_in_era(2, 54, "i-2", born=2000)], 3.5, 4.2)
     assert [info.id for info in entries.targets()] == ["i-1@1000", "i-2@2000"]
 
 
-def test_a_target_that_stays_listed_is_believed_in_the_end():
+def test_removed_target_that_stays_listed_is_accepted():
     entries = TargetEntries()
-    entries.take_all([item_of(1, 50)], 0.0, 0.0, at(50, 1))
-    entries.take([replace(removed(51), position=at(51, 1))], 1.0, 0.0)
-    entries.take_all([item_of(2, 50)], 2.0, 4.2, at(50, 2))
+    entries.apply_snapshot([item_in_era(1, 50)], 0.0, 0.0, pos(50, 1))
+    entries.apply_changes([replace(removal(51), position=pos(51, 1))], 1.0, 0.0)
+    entries.apply_snapshot([item_in_era(2, 50)], 2.0, 4.2, pos(50, 2))
     assert entries.targets() == []
-    assert entries.next_lapse_s(2.0) == pytest.approx(5.0)
-    assert [info.id for info in entries.lapse(7.0).changed] == ["i-1@1000"]
+    assert entries.next_timeout_s(2.0) == pytest.approx(5.0)
+    assert [info.id for info in entries.apply_timeouts(7.0).changed] == ["i-1@1000"]
+
 
+def test_target_that_wrote_again_before_snapshot_is_trusted():
+    """Guards against dropping a live target.
 
-def test_a_target_that_wrote_again_before_the_list_was_read_is_believed():
-    """Guards against a living target that a router drops for seconds, and its copiers for good."""
-    reader, other = TargetEntries(), TargetEntries()
-    reader.take_all([item_of(1, 50)], 0.0, 0.0, at(50, 1))
-    reader.take_all([], 1.0, 3.2, at(40, 2))
-    assert reader.lapse(3.2).gone == ["i-1@1000"]
-    reader.take_all([item_of(3, 44)], 5.0, 7.2, at(45, 3))
+    A router that reads the store would drop it for seconds, and the peers that fetch the documents
+    of that router for good.
+    """
+    reader, peer = TargetEntries(), TargetEntries()
+    reader.apply_snapshot([item_in_era(1, 50)], 0.0, 0.0, pos(50, 1))
+    reader.apply_snapshot([], 1.0, 3.2, pos(40, 2))
+    assert reader.apply_timeouts(3.2).removed == ["i-1@1000"]
+    reader.apply_snapshot([item_in_era(3, 44)], 5.0, 7.2, pos(45, 3))
     assert [info.id for info in reader.targets()] == ["i-1@1000"]
-    other.take_copy(copied(reader, 5.0), 5.0)
-    assert [info.id for info in other.targets()] == ["i-1@1000"]
+    peer.apply_peer_docs(published_docs(reader, 5.0), 5.0)
+    assert [info.id for info in peer.targets()] == ["i-1@1000"]
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -1,9 +1,9 @@
-"""What reaches a worker is what the caller sent, and only one parser's idea of it."""
+"""Requests reach a worker as the caller sent them, and ambiguous ones are refused."""
 
 import pytest
 
-from turmerictray.platform.standins.caller import PROMPT, make_request
-from turmerictray.platform.standins.local import KEY, TEAM
+from turmerictray.platform.standins.caller import PROMPT_HEADERS, make_request
+from turmerictray.platform.standins.local import API_KEY, TEAM
 
 
 @pytest.fixture
@@ -17,11 +17,13 @@
 
 
 def only_request(deployment, service: str):
-    (seen,) = [seen for worker in deployment.of_service(service) for seen in worker.seen]
+    (seen,) = [
+        seen for worker in deployment.of_service(service) for seen in worker.received_requests
+    ]
     return seen
 
 
-def test_request_is_passed_on_byte_for_byte(deployment, caller):
+def test_request_is_forwarded_byte_for_byte(deployment, caller):
     target = "/order/%7Ea//b/../c?x=%2f&y=+&z"
     body = bytes(range(256)) * 40
     answer = caller.request("PUT", target, body, X_Own="v a l", Cookie="a=1; b=2")
@@ -33,9 +35,9 @@
     assert answer.body == f"PUT {target} {len(body)}".encode()
 
 
-def test_headers_that_are_the_systems_are_set_or_dropped(deployment, caller):
-    # A caller that could set these would act as another team, reserve an engine's memory, or go
-    # on from the memory of another caller's request.
+def test_router_only_headers_are_set_or_dropped(deployment, caller):
+    # A caller that could set these headers would act as another team, reserve an engine's memory or
+    # continue from the cached tokens of another caller's request.
     forged = {
         "X_Tenant": "rider",
         "X_Hold": "h1",
@@ -47,21 +49,21 @@
         "Connection": "X-Dropped",
         "X_Dropped": "1",
     }
-    answer = caller.request("POST", "/plan/1", b"p", **PROMPT, **forged)
+    answer = caller.request("POST", "/plan/1", b"p", **PROMPT_HEADERS, **forged)
     assert answer.status == 200
     headers = only_request(deployment, "llm").headers
     assert headers["X-Tenant"] == TEAM
     assert headers["X-Expect-Instance"].startswith("llm-")
-    assert headers["X-Prompt-Prefix"] == PROMPT["X_Prompt_Prefix"]
+    assert headers["X-Prompt-Prefix"] == PROMPT_HEADERS["X_Prompt_Prefix"]
     assert 0 < int(headers["X-Deadline-Ms"]) <= 3000
     gone = {"Authorization", "X-Hold", "X-Pin-Ms", "X-Kv-Backup", "Kv-From", "Kv-Fetch"}
     assert not (gone | {"X-Dropped"}) & headers.keys()
-    assert KEY not in str(headers)
+    assert API_KEY not in str(headers)
 
 
-def test_body_in_chunks_is_one_request(deployment, caller):
-    # Taken as truncated, the chunks would be read as a second request on the connection, and the
-    # caller would get two answers to one request.
+def test_chunked_body_is_one_request(deployment, caller):
+    # If the body ended before its last chunk, the rest would be parsed as a second request on the
+    # connection, and the caller would receive two answers to one request.
     head = make_request("POST", "/order/1", Content_Length="", Transfer_Encoding="chunked")
     caller.send(head + b"3\r\nabc\r\n4;x=y\r\ndefg\r\n0\r\nX-Trailer: 1\r\n\r\n")
     assert caller.read().status == 200
@@ -82,10 +84,10 @@
     caller.send(head + smuggled)
     assert caller.read().status == 400
     assert caller.is_closed()
-    assert not any(worker.seen for worker in deployment.workers)
+    assert not any(worker.received_requests for worker in deployment.workers)
 
 
-def test_unknown_keys_and_routes(deployment, caller):
+def test_unknown_keys_and_routes_are_refused(deployment, caller):
     assert caller.request("GET", "/ping/1", Authorization="Bearer nobody").status == 401
     assert caller.request("GET", "/ping/1", Authorization="").status == 401
     assert caller.request("GET", "/nowhere/1").status == 404
@@ -100,15 +102,16 @@
     assert caller.is_closed()
 
 
-def test_half_a_head_does_not_hold_the_connection(caller):
+def test_incomplete_head_times_out(caller):
     caller.send(b"GET /ping/1 HT")
     assert caller.read().status in (0, 408)
     assert caller.is_closed(4.5)
 
 
-def test_one_byte_at_a_time_does_not_hold_the_connection(caller):
-    # Each byte comes within the time limit of a single read; only a limit on the whole head ends
-    # it. Without one, a few hundred such callers would hold every thread of the front.
+def test_slowly_sent_head_times_out(caller):
+    # Each byte arrives within the time limit of a single read, so only a limit on the whole head
+    # ends the connection. Without it, a few hundred such callers would occupy every thread of the
+    # front.
     head = make_request("GET", "/ping/1")
     caller.sock.settimeout(0.3)
     with pytest.raises(OSError):
@@ -122,6 +125,6 @@
             raise ConnectionResetError
 
 
-def test_connection_is_kept_for_the_next_request(deployment, caller):
+def test_connection_is_reused_for_next_request(deployment, caller):
     assert all(caller.request("GET", f"/ping/{n}").status == 200 for n in range(10))
     assert sum(worker.connections for worker in deployment.of_service("app")) <= 2
--- a/tests/platform/test_restart.py
+++ b/tests/platform/test_restart.py
@@ -1,4 +1,4 @@
-"""Routers that start again while the store answers with what it knew before."""
+"""Routers that restart while the store answers with outdated documents."""
 
 import threading
 import time
@@ -12,14 +12,14 @@
 from turmerictray.platform.standins.store import StoreServer
 from turmerictray.platform.standins.worker import Worker
 
-WATCHED_S = 3.0
-"""Time after a start in which the router's answers are looked at."""
+OBSERVATION_S = 3.0
+"""How long the answers of a router are checked after its start."""
 
 pytestmark = pytest.mark.process
 
 
 def status(router, **headers: str) -> int:
-    """Status of a ping; 0 while the router takes no connection."""
+    """Return the status of a ping, or 0 if the router accepts no connection."""
     try:
         caller = RawCaller(router.front)
     except OSError:
@@ -31,8 +31,8 @@
 
 
 @pytest.fixture
-def old_store():
-    """Start a store with the first configuration and the entries of some workers."""
+def outdated_store():
+    """Start stores with the initial configuration and the entries of some workers."""
     started: list[StoreServer] = []
 
     def start(workers: list[Worker]) -> StoreServer:
@@ -49,82 +49,80 @@
 
 
 def restart(router, store: StoreServer) -> None:
-    """Kill a router and start it again with a store that is behind."""
+    """Kill a router and restart it with an outdated store."""
     router.stop()
     router.use_store(store.address)
     router.start()
 
 
 def statuses_after_start(router, **headers: str) -> Counter:
-    """How often each status is answered from now on, until some time after the first answer."""
+    """Count the statuses of pings until ``OBSERVATION_S`` after the first answer."""
     seen = Counter()
-    until = time.monotonic() + WATCHED_S
+    until = time.monotonic() + OBSERVATION_S
     while time.monotonic() < until:
         answered = status(router, **headers)
         if not any(seen):
-            until = time.monotonic() + WATCHED_S
+            until = time.monotonic() + OBSERVATION_S
         seen[answered] += 1
         time.sleep(0.01)
     return seen
 
 
 def publish(deployment: LocalDeployment, config: dict, expected: int, **headers: str) -> None:
-    """Publish a configuration and wait until all routers answer by it."""
+    """Publish a configuration and wait until it is active on all routers."""
     deployment.store.store.put("op/config", config)
     for router in deployment.routers:
         assert wait_for(lambda router=router: status(router, **headers) == expected)
 
 
 @pytest.mark.parametrize("number", [0, 1])
-def test_a_dropped_route_is_not_served_after_a_restart(start_deployment, old_store, number):
-    """Guards against an old text in force until a peer's newer one comes."""
+def test_removed_route_is_not_served_after_restart(start_deployment, outdated_store, number):
+    """Guards against serving by an outdated configuration until a peer's newer one arrives."""
     deployment = start_deployment(routers=3)
     config = default_config(2)
     config["routes"] = [route for route in config["routes"] if route["name"] != "ping"]
     publish(deployment, config, 404)
     router = deployment.routers[number]
-    restart(router, old_store(deployment.workers))
+    restart(router, outdated_store(deployment.workers))
     seen = statuses_after_start(router)
     assert set(seen) <= {0, 404, 503}, seen
     assert seen[404], seen
 
 
-def test_a_withdrawn_key_is_not_admitted_after_a_restart(start_deployment, old_store):
-    """Guards against a key of an old text that admits callers until a peer's text comes."""
+def test_revoked_key_is_not_admitted_after_restart(start_deployment, outdated_store):
+    """Guards against accepting a revoked key until a peer's configuration arrives."""
     deployment = start_deployment(routers=3)
     config = default_config(2)
     config["tenants"][1]["api_keys"] = ["key-rider-2"]
     publish(deployment, config, 401, Authorization="Bearer key-rider")
     router = deployment.routers[0]
-    restart(router, old_store(deployment.workers))
+    restart(router, outdated_store(deployment.workers))
     seen = statuses_after_start(router, Authorization="Bearer key-rider")
     assert set(seen) <= {0, 401, 503}, seen
     assert seen[401], seen
 
 
-def test_a_target_that_has_left_gets_nothing_after_a_restart(start_deployment, old_store):
-    """Guards against requests to a target that only an old list names."""
+def test_removed_target_receives_no_requests_after_restart(start_deployment, outdated_store):
+    """Guards against requests to a target that only the outdated store lists."""
     deployment = start_deployment(routers=3, apps=2)
     gone = deployment.of_service("app")[0]
     deployment.withdraw(gone)
     time.sleep(1.0)
-    before = len(gone.seen)
+    before = len(gone.received_requests)
     router = deployment.routers[0]
-    restart(router, old_store(deployment.workers))
+    restart(router, outdated_store(deployment.workers))
     seen = statuses_after_start(router)
     assert seen[200], seen
-    assert len(gone.seen) == before
+    assert len(gone.received_requests) == before
 
 
-def test_routers_that_restart_together_take_the_text_of_the_one_that_lives(
-    start_deployment, old_store
-):
-    """Guards against routers that have just started and believe each other's old text."""
+def test_routers_that_restart_together_use_config_of_running_peer(start_deployment, outdated_store):
+    """Guards against starting routers that accept each other's outdated configuration."""
     deployment = start_deployment(routers=4)
     config = default_config(2)
     config["routes"] = [route for route in config["routes"] if route["name"] != "ping"]
     publish(deployment, config, 404)
-    store = old_store(deployment.workers)
+    store = outdated_store(deployment.workers)
     restarted = deployment.routers[:3]
     for router in restarted:
         restart(router, store)
@@ -143,8 +141,8 @@
 
 
 @pytest.mark.parametrize("alive", [0, 1])
-def test_a_router_whose_peers_are_gone_serves_by_what_the_store_says(start_deployment, alive):
-    """Guards against a router that waits for peers which do not come."""
+def test_router_without_reachable_peers_serves_by_store(start_deployment, alive):
+    """Guards against a router that waits for peers that never start."""
     deployment = start_deployment(routers=3)
     for router in deployment.routers:
         router.stop()
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,9 +1,9 @@
-"""The platform's settings file, read into the product's settings."""
+"""Translation of the platform's settings file into the router's settings."""
 
 import pytest
 
 from turmerictray.core.errors import SettingsError
-from turmerictray.platform.settings import gateway_settings, load_node_file
+from turmerictray.platform.settings import build_gateway_settings, load_node_file
 
 GOOD = """
 node = "front-1"
@@ -32,15 +32,15 @@
 
 
 def test_settings_are_read(tmp_path):
-    settings = gateway_settings(load(tmp_path, GOOD))
+    settings = build_gateway_settings(load(tmp_path, GOOD))
     assert str(settings.front) == "10.1.0.33:8783"
     assert str(settings.peer) == "10.1.0.33:7400"
     assert [str(seed) for seed in settings.seeds] == ["10.1.0.33:7400", "10.2.0.18:7400"]
-    assert (settings.repeats.ratio, settings.repeats.floor) == (0.2, 56.0)
+    assert (settings.retry_limits.ratio, settings.retry_limits.floor) == (0.2, 56.0)
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "message"),
     [
         ('node = "front-1"', "", "node"),
         ("[7400, 7415]", '"many"', "internal_ports"),
@@ -48,14 +48,14 @@
         ('zone = "z1"', "zone = ", "node.toml"),
     ],
 )
-def test_bad_settings_are_refused_with_their_place(tmp_path, old, new, said):
-    with pytest.raises(SettingsError, match=said):
+def test_invalid_settings_are_refused_with_field_name(tmp_path, old, new, message):
+    with pytest.raises(SettingsError, match=message):
         load(tmp_path, GOOD.replace(old, new))
 
 
 def test_address_without_a_port_is_refused(tmp_path):
     with pytest.raises(SettingsError, match="host:port"):
-        gateway_settings(load(tmp_path, GOOD.replace("10.1.0.33:8783", "10.1.0.33")))
+        build_gateway_settings(load(tmp_path, GOOD.replace("10.1.0.33:8783", "10.1.0.33")))
 
 
 def test_missing_file_is_refused():
@@ -63,7 +63,7 @@
         load_node_file("/nowhere/node.toml")
 
 
-def test_a_processor_is_a_share_of_a_core_that_may_be_faster(tmp_path):
-    assert gateway_settings(load(tmp_path, GOOD)).cores == 1.0
+def test_cores_are_fraction_of_a_core_times_its_speed(tmp_path):
+    assert build_gateway_settings(load(tmp_path, GOOD)).cores == 1.0
     limits = "[limits]\ncpu_share = 0.537\ncores = 2\n"
-    assert gateway_settings(load(tmp_path, GOOD + limits)).cores == pytest.approx(1.074)
+    assert build_gateway_settings(load(tmp_path, GOOD + limits)).cores == pytest.approx(1.074)
--- a/tests/platform/test_sources.py
+++ b/tests/platform/test_sources.py
@@ -7,28 +7,30 @@
 from turmerictray.router.published import PublishedCopy, StorePosition
 
 
-class OneAnswer:
-    """A store that answers once."""
+class SingleAnswerStore:
+    """A store that answers a single read."""
 
     def read_all(self, prefix: str) -> Snapshot:
         return Snapshot([], StorePosition(1, 7))
 
 
-class ReadAlways:
-    """Lets the router read."""
+class AlwaysOpenGate:
+    """A gate that always lets the router read the store."""
 
     def should_read(self, position) -> bool:
         return True
 
-    def note_read(self, prefix: str) -> None:
-        """Nothing depends on it here."""
+    def record_store_read(self, prefix: str) -> None:
+        """Ignore the answer."""
 
 
-def test_an_answer_that_comes_after_the_broker_has_stopped_ends_the_watch():
-    """Guards against a traceback in the log of each stop beside a change of the targets."""
+def test_answer_after_broker_has_stopped_ends_watch():
+    """Guards against a logged traceback if the targets change while the router stops."""
 
     def refuse(snapshot: Snapshot) -> None:
         raise pykka.ActorDeadError("Broker not found")
 
-    watch = PrefixWatch(OneAnswer(), "servers/", ReadAlways(), PublishedCopy(), refuse, refuse)
+    watch = PrefixWatch(
+        SingleAnswerStore(), "servers/", AlwaysOpenGate(), PublishedCopy(), refuse, refuse
+    )
     watch._run()
--- a/tests/platform/test_store_calls.py
+++ b/tests/platform/test_store_calls.py
@@ -1,4 +1,4 @@
-"""How often the routers of a deployment ask the store while all of it starts."""
+"""Number of requests to the store while a whole deployment starts."""
 
 import time
 
@@ -8,14 +8,18 @@
 
 ROUTERS = 8
 TARGETS = 40
-START_S = 5.0
-MOST_CALLS = 100
-"""Of eight routers in one zone a seed reads from the start and two settled ones later: three
-readers, two watches each that end every 2.5 s, and one end every 0.3 s while targets register."""
+REGISTRATION_S = 5.0
+MAX_CALLS = 100
+"""Upper limit on the requests to the store.
 
+Three of the eight routers in one zone read the store: a seed from the start, and two more once they
+are established. Each has two watches, which end every 2.5 s; while targets register, one of the two
+ends every 0.3 s.
+"""
 
-def test_few_calls_are_made_while_routers_and_targets_start_together(tmp_path):
-    """Guards against a fleet that reads as one before anything is published and settled."""
+
+def test_store_calls_are_bounded_while_fleet_starts(tmp_path):
+    """Guards against all routers reading the store while nothing is published or settled yet."""
     deployment = LocalDeployment(tmp_path, routers=ROUTERS)
     registered = [Worker(f"new-{number}", "llm") for number in range(TARGETS)]
     try:
@@ -23,9 +27,9 @@
             router.start()
         for worker in registered:
             deployment.publish(worker)
-            time.sleep(START_S / TARGETS)
+            time.sleep(REGISTRATION_S / TARGETS)
         deployment.store.store.put("op/config", default_config())
         assert wait_for(lambda: all(r.is_ready() for r in deployment.routers), 10)
     finally:
         deployment.stop()
-    assert deployment.store.store.calls <= MOST_CALLS
+    assert deployment.store.store.call_count <= MAX_CALLS
--- a/tests/platform/test_store_return.py
+++ b/tests/platform/test_store_return.py
@@ -1,4 +1,4 @@
-"""A store that comes back from a copy some seconds old, with router processes."""
+"""Router processes and a store that is restored from a backup a second old."""
 
 import time
 
@@ -12,9 +12,9 @@
 from turmerictray.platform.standins.store import StoreTrouble
 from turmerictray.platform.standins.worker import Worker
 
-COPY_AGE_S = 1.0
-KNOWN_WITHIN_S = 5.0
-"""What is written again is known by then; two seconds of it are for those that write."""
+BACKUP_AGE_S = 1.0
+PROPAGATION_S = 5.0
+"""Time until routers know entries written after a restore; two seconds are for the writers."""
 
 pytestmark = pytest.mark.process
 
@@ -27,57 +27,60 @@
         caller.close()
 
 
-def write_again(deployment: LocalDeployment, version: int) -> None:
-    """Operators and workers write what they wrote since the copy."""
+def republish(deployment: LocalDeployment, version: int) -> None:
+    """Write the configuration and the workers' entries again, as operators and workers do."""
     deployment.store.store.put("op/config", default_config(version))
     for worker in deployment.workers:
         if not worker.closing.is_set():
             deployment.publish(worker)
 
 
-def come_back(deployment: LocalDeployment, meanwhile=lambda: None) -> None:
-    """The store is away for a moment; ``meanwhile`` writes before it serves its readers."""
+def restore_store(deployment: LocalDeployment, meanwhile=lambda: None) -> None:
+    """Interrupt the store and restore it from its backup.
+
+    ``meanwhile`` is called after the restore and before the store answers its readers again.
+    """
     store = deployment.store.store
     store.trouble = StoreTrouble.RESET
     time.sleep(0.2)
-    store.restore(COPY_AGE_S)
+    store.restore_backup(BACKUP_AGE_S)
     meanwhile()
     store.trouble = StoreTrouble.NONE
 
 
-def write_often(deployment: LocalDeployment) -> None:
-    """Revisions grow, and the workers' entries have the newest ones."""
+def raise_revisions(deployment: LocalDeployment) -> None:
+    """Write the workers' entries repeatedly, so that they have the highest revisions."""
     for _ in range(20):
         for worker in deployment.of_service("app"):
             deployment.publish(worker)
 
 
 def restart_workers(deployment: LocalDeployment) -> list[Worker]:
-    """All plain workers end and start again under their names, elsewhere."""
-    fresh = []
+    """Replace all plain workers by new processes with the same names and other addresses."""
+    restarted = []
     for worker in deployment.of_service("app"):
         worker.stop()
-        fresh.append(Worker(worker.id, "app").start())
+        restarted.append(Worker(worker.id, "app").start())
     deployment.workers = [w for w in deployment.workers if w.service != "app"]
-    for worker in fresh:
+    for worker in restarted:
         deployment.add_worker(worker)
-    return fresh
+    return restarted
 
 
-@pytest.mark.parametrize("passing", [False, True])
-def test_what_is_written_after_a_return_is_known(start_deployment, passing):
-    """Guards against revisions that are given out again and taken for old ones."""
+@pytest.mark.parametrize("exceeds_old_revision", [False, True])
+def test_entries_written_after_a_restore_are_applied(start_deployment, exceeds_old_revision):
+    """Guards against ignoring entries because a restored store assigns revisions again."""
     deployment = start_deployment(routers=2, apps=2)
-    time.sleep(COPY_AGE_S + 0.2)
-    write_often(deployment)
+    time.sleep(BACKUP_AGE_S + 0.2)
+    raise_revisions(deployment)
     time.sleep(0.6)
 
     def meanwhile() -> None:
         restart_workers(deployment)
-        for number in range(60 if passing else 0):
+        for number in range(60 if exceeds_old_revision else 0):
             deployment.store.store.put(f"other/{number}", {})
 
-    come_back(deployment, meanwhile)
+    restore_store(deployment, meanwhile)
     workers = deployment.of_service("app")
     for router in deployment.routers:
         before = [len(worker.runs()) for worker in workers]
@@ -86,20 +89,20 @@
             ping(router)
             return all(len(w.runs()) > count for w, count in zip(workers, before, strict=True))
 
-        assert wait_for(reaches_both, KNOWN_WITHIN_S)
+        assert wait_for(reaches_both, PROPAGATION_S)
 
 
-def test_a_withdrawn_route_stays_withdrawn(start_deployment):
-    """Guards against an old text that comes into force again while the store returns."""
+def test_removed_route_stays_removed(start_deployment):
+    """Guards against an old configuration that becomes active again after a restore."""
     deployment = start_deployment(routers=2)
     store = deployment.store.store
-    time.sleep(COPY_AGE_S + 0.2)
+    time.sleep(BACKUP_AGE_S + 0.2)
     config = default_config(2)
     config["routes"] = [route for route in config["routes"] if route["name"] != "ping"]
     store.put("op/config", config)
     for router in deployment.routers:
         assert wait_for(lambda router=router: ping(router) == 404)
-    come_back(deployment)
+    restore_store(deployment)
     restarted = deployment.routers[1]
     restarted.stop()
     restarted.start()
@@ -113,68 +116,68 @@
     assert [ping(router) for router in deployment.routers] == [404, 404]
 
 
-def test_a_worker_that_is_gone_is_not_believed_to_be_back(start_deployment):
-    """Guards against requests to what a copy still lists."""
+def test_stopped_worker_listed_by_backup_is_not_trusted(start_deployment):
+    """Guards against requests to a stopped worker that the backup still lists."""
     deployment = start_deployment(routers=2, apps=2)
-    time.sleep(COPY_AGE_S + 0.2)
-    gone = deployment.of_service("app")[0]
-    gone.stop()
-    deployment.withdraw(gone)
+    time.sleep(BACKUP_AGE_S + 0.2)
+    stopped = deployment.of_service("app")[0]
+    stopped.stop()
+    deployment.withdraw(stopped)
     time.sleep(0.6)
-    come_back(deployment)
+    restore_store(deployment)
     time.sleep(0.6)
     for router in deployment.routers:
-        assert gone.id not in str(_status(router))
+        assert stopped.id not in str(_status(router))
 
 
-def test_a_worker_that_was_leaving_gets_nothing_more(start_deployment):
-    """Guards against an entry from before a worker said that it leaves."""
+def test_leaving_worker_receives_no_requests_after_restore(start_deployment):
+    """Guards against applying an entry from before the worker announced that it leaves."""
     deployment = start_deployment(routers=2, apps=2)
-    time.sleep(COPY_AGE_S + 0.2)
+    time.sleep(BACKUP_AGE_S + 0.2)
     leaving = deployment.of_service("app")[0]
     deployment.publish(leaving, "draining")
     time.sleep(0.6)
-    come_back(deployment)
+    restore_store(deployment)
     time.sleep(0.6)
-    before = len(leaving.seen)
+    before = len(leaving.received_requests)
     assert {ping(router) for router in deployment.routers for _ in range(10)} == {200}
-    assert len(leaving.seen) == before
+    assert len(leaving.received_requests) == before
 
 
-def test_a_router_that_does_not_reach_the_store_hears_of_the_new_era(start_deployment):
-    """Guards against an older era whose higher revision is taken for the newest."""
+def test_router_cut_off_from_store_learns_new_era(start_deployment):
+    """Guards against taking a higher revision of an older era for the newest."""
     deployment = start_deployment(routers=3, apps=2, network=Network())
-    time.sleep(COPY_AGE_S + 0.2)
-    write_often(deployment)
+    time.sleep(BACKUP_AGE_S + 0.2)
+    raise_revisions(deployment)
     time.sleep(0.8)
     deployment.network.cut({"r2"}, {"store"})
-    come_back(deployment, lambda: restart_workers(deployment))
+    restore_store(deployment, lambda: restart_workers(deployment))
     for router in deployment.routers:
-        assert wait_for(lambda router=router: ping(router) == 200, KNOWN_WITHIN_S)
+        assert wait_for(lambda router=router: ping(router) == 200, PROPAGATION_S)
     assert {_status(router)["store_era"] for router in deployment.routers} == {2}
 
 
-def test_workers_that_write_again_are_served_all_the_while(start_deployment):
-    """Guards against targets that are dropped because a copy does not list them yet."""
+def test_workers_missing_from_backup_stay_available(start_deployment):
+    """Guards against dropping targets that registered after the backup was made."""
     deployment = start_deployment(routers=2, apps=1)
-    time.sleep(COPY_AGE_S + 0.2)
-    young = Worker("app-young", "app").start()
-    deployment.add_worker(young)
-    old = deployment.of_service("app")[0]
-    old.stop()
-    deployment.withdraw(old)
+    time.sleep(BACKUP_AGE_S + 0.2)
+    added = Worker("app-added", "app").start()
+    deployment.add_worker(added)
+    original = deployment.of_service("app")[0]
+    original.stop()
+    deployment.withdraw(original)
     for router in deployment.routers:
         assert wait_for(lambda router=router: ping(router) == 200)
-    come_back(deployment)
+    restore_store(deployment)
     until = time.monotonic() + 1.5
     answers = set()
     while time.monotonic() < until:
         answers |= {ping(router) for router in deployment.routers}
     assert answers == {200}
-    write_again(deployment, 1)
+    republish(deployment, 1)
     time.sleep(1.5)
     assert {ping(router) for router in deployment.routers} == {200}
 
 
 def _status(router) -> dict:
-    return urllib3.request("GET", f"{router.admin}/status", timeout=3, retries=False).json()
+    return urllib3.request("GET", f"{router.admin_url}/status", timeout=3, retries=False).json()
--- a/tests/platform/test_store_return_stateful.py
+++ b/tests/platform/test_store_return_stateful.py
@@ -1,4 +1,4 @@
-"""Readers and a router that copies from them agree with a store that returns from copies."""
+"""Stateful test: routers agree with a store that is repeatedly restored from a backup."""
 
 import json
 
@@ -9,17 +9,17 @@
 
 from turmerictray.core.errors import HistoryGone
 from turmerictray.core.ids import TargetId
-from turmerictray.platform.entries import TARGETS_PREFIX, TargetEntries, keep_missing_until
+from turmerictray.platform.entries import TARGETS_PREFIX, TargetEntries, missing_entry_deadline
 from turmerictray.platform.standins.store import StoreServer
 from turmerictray.platform.store import StoreClient
 from turmerictray.router.published import Position, PublishedDocs, StorePosition
 
 NAMES = [f"i-{number}" for number in range(4)]
-SETTLED_S = 8.0
-"""Longer than anything is kept or doubted."""
+MAX_TIMEOUT_S = 8.0
+"""Longer than any missing entry is kept or any listed one stays unconfirmed."""
 
 
-def entry(born: int, state: str) -> dict:
+def make_entry(born: int, state: str) -> dict:
     return {
         "service": "llm",
         "address": "10.0.0.1:80",
@@ -33,14 +33,14 @@
     }
 
 
-class Router:
-    """What a router believes, by its own reads or by copies."""
+class ReaderModel:
+    """The targets that a router knows from its own reads of the store or from peers."""
 
     def __init__(self, address: str) -> None:
         self.entries = TargetEntries()
         self.client = StoreClient(address)
         self.since: StorePosition | None = None
-        self.back_at = -100.0
+        self.store_returned_at = -100.0
         self.highest = StorePosition()
 
     def read(self, now: float) -> None:
@@ -53,15 +53,17 @@
             self.since = None
             return
         self.since = max(self.since, snapshot.position)
-        self.entries.take(snapshot.items, now, keep_missing_until(self.back_at))
+        self.entries.apply_changes(
+            snapshot.items, now, missing_entry_deadline(self.store_returned_at)
+        )
 
     def _read_all(self, now: float) -> None:
         snapshot = self.client.read_all(TARGETS_PREFIX)
         if snapshot.position.era > self.highest.era:
-            self.back_at = now
+            self.store_returned_at = now
         self.since = snapshot.position
-        keep_until = keep_missing_until(self.back_at)
-        self.entries.take_all(snapshot.items, now, keep_until, snapshot.position)
+        keep_until = missing_entry_deadline(self.store_returned_at)
+        self.entries.apply_snapshot(snapshot.items, now, keep_until, snapshot.position)
 
     def docs(self, now: float) -> PublishedDocs:
         position = self.entries.position
@@ -71,22 +73,25 @@
             targets_era=position.era,
         )
 
-    def copy_from(self, other: "Router", now: float) -> None:
-        if Position(1, self.entries.position).is_behind(Position(1, other.entries.position)):
-            self.entries.take_copy(other.docs(now), now)
+    def copy_from(self, peer: "ReaderModel", now: float) -> None:
+        if Position(1, self.entries.position).is_behind(Position(1, peer.entries.position)):
+            self.entries.apply_peer_docs(peer.docs(now), now)
 
-    def believed(self) -> set[TargetId]:
+    def listed_targets(self) -> set[TargetId]:
         return {info.id for info in self.entries.targets()}
 
 
-class StoreReturns(RuleBasedStateMachine):
-    """Workers write, end and start again; the store loses changes; routers read or copy."""
+class RestoredStoreMachine(RuleBasedStateMachine):
+    """Workers start, drain and stop; the store loses changes; routers read it or ask peers.
+
+    The names of rules and their arguments determine the order of random draws.
+    """
 
     def __init__(self) -> None:
         super().__init__()
         self.server = StoreServer().start()
         self.store = self.server.store
-        self.routers = [Router(self.server.address) for _ in range(3)]
+        self.routers = [ReaderModel(self.server.address) for _ in range(3)]
         self.alive: dict[str, tuple[int, str]] = {}
         self.born = 0
         self.now = 0.0
@@ -109,8 +114,8 @@
         self.write(name)
 
     @rule(count=st.integers(0, 6))
-    def return_from_copy(self, count):
-        self.store.lose_last(min(count, len(self.store._log)))
+    def restore_backup(self, count):
+        self.store.restore_without_last(min(count, len(self.store._log)))
 
     @rule()
     def forget_history(self):
@@ -120,7 +125,7 @@
     def write(self, name):
         key = TARGETS_PREFIX + name
         if name in self.alive:
-            self.store.put(key, entry(*self.alive[name]))
+            self.store.put(key, make_entry(*self.alive[name]))
         elif key in self.store._items:
             self.store.delete(key)
 
@@ -136,10 +141,10 @@
     def pass_time(self, seconds):
         self.now += seconds
         for router in self.routers:
-            router.entries.lapse(self.now)
+            router.entries.apply_timeouts(self.now)
 
     @invariant()
-    def no_router_goes_back(self):
+    def no_position_goes_back(self):
         for router in self.routers:
             assert router.entries.position >= router.highest
             router.highest = router.entries.position
@@ -161,15 +166,15 @@
                     router.read(self.now)
             self.routers[2].copy_from(self.routers[0], self.now)
             self.routers[2].copy_from(self.routers[1], self.now)
-            self.pass_time(SETTLED_S)
+            self.pass_time(MAX_TIMEOUT_S)
         expected = {
             f"{key.removeprefix(TARGETS_PREFIX)}@{json.loads(change.value)['born']}"
             for key, change in self.store._items.items()
         }
         for router in self.routers:
-            assert router.believed() == expected
+            assert router.listed_targets() == expected
 
 
 @pytest.mark.filterwarnings("ignore")
-class TestStoreReturns(StoreReturns.TestCase):
+class TestRestoredStore(RestoredStoreMachine.TestCase):
     settings = settings(max_examples=60, stateful_step_count=25, deadline=None, derandomize=True)
--- a/tests/platform/test_streams.py
+++ b/tests/platform/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams of engines that break, go silent or last too long, and callers that leave."""
+"""Streams that break, stall or last too long, and callers that disconnect."""
 
 import time
 
@@ -6,59 +6,59 @@
 from pytest_bdd import parsers, scenarios, then, when
 
 from tests.platform.conftest import wait_for
-from turmerictray.platform.standins.caller import PROMPT, make_request
+from turmerictray.platform.standins.caller import PROMPT_HEADERS, make_request
 
 scenarios("features/streams.feature")
 
-_TOLD_S = 0.5
+_DISCONNECT_NOTICE_S = 0.5
 
 
-@when(parsers.parse("a caller hangs up after the first event of {target}"))
-def hang_up_streaming(deployment, caller_to, ctx, target):
+@when(parsers.parse("a caller disconnects after the first event of {target}"))
+def disconnect_during_stream(deployment, caller_to, ctx, target):
     caller = caller_to(deployment.routers[0])
-    caller.send(make_request("POST", target, b"prompt", **PROMPT))
+    caller.send(make_request("POST", target, b"prompt", **PROMPT_HEADERS))
     assert caller.sock.recv(4096)
     caller.close()
-    ctx["hung_up_at"] = time.monotonic()
+    ctx["disconnected_at"] = time.monotonic()
 
 
-@when(parsers.parse("a caller hangs up while it waits for {target}"))
-def hang_up_waiting(deployment, caller_to, ctx, target):
+@when(parsers.parse("a caller disconnects while it waits for {target}"))
+def disconnect_while_waiting(deployment, caller_to, ctx, target):
     caller = caller_to(deployment.routers[0])
-    caller.send(make_request("POST", target, b"prompt", **PROMPT))
-    assert wait_for(lambda: any(w.seen for w in deployment.of_service("llm")))
+    caller.send(make_request("POST", target, b"prompt", **PROMPT_HEADERS))
+    assert wait_for(lambda: any(w.received_requests for w in deployment.of_service("llm")))
     caller.close()
-    ctx["hung_up_at"] = time.monotonic()
+    ctx["disconnected_at"] = time.monotonic()
 
 
-@then("the engine is told within half a second")
-def engine_told(deployment):
-    # An engine that works on for a caller who is gone takes the time of those who wait.
-    seen = [seen for worker in deployment.of_service("llm") for seen in worker.seen]
+@then("the request to the engine is cancelled within half a second")
+def engine_request_cancelled(deployment):
+    # An engine that keeps working for a disconnected caller delays the requests that wait for it.
+    seen = [seen for worker in deployment.of_service("llm") for seen in worker.received_requests]
     assert len(seen) == 1
-    assert wait_for(lambda: seen[0].left_early, _TOLD_S)
+    assert wait_for(lambda: seen[0].client_disconnected, _DISCONNECT_NOTICE_S)
 
 
-@then("no engine counts as failing")
-def not_failing(deployment):
-    # The route's time-out is shorter than the answer; the engine did nothing wrong. Counted as its
-    # failure, each long answer would send prompts away from the engine that keeps them.
-    status = urllib3.request("GET", f"{deployment.routers[0].admin}/status").json()
+@then("no engine failure is recorded")
+def no_failure_recorded(deployment):
+    # The answer takes longer than the route's timeout, which is not a failure of the engine.
+    # Otherwise each long answer would divert prompts from the engine that has them cached.
+    status = urllib3.request("GET", f"{deployment.routers[0].admin_url}/status").json()
     engines = status["services"]["llm"]["targets"].values()
     assert all(engine["failure_rate"] == 0 for engine in engines)
 
 
-@then("the answer ends early")
-def ends_early(ctx):
+@then("the answer is truncated")
+def answer_is_truncated(ctx):
     assert ctx["answer"].status == 200
-    assert not ctx["answer"].whole
+    assert not ctx["answer"].complete
 
 
-@then(parsers.parse("the caller has the events {first:d} to {last:d}"))
-def has_events(ctx, first, last):
+@then(parsers.parse("the caller received the events {first:d} to {last:d}"))
+def received_events(ctx, first, last):
     assert ctx["answer"].event_ids() == list(range(first, last + 1))
 
 
-@then(parsers.parse("the stream lasted between {least:g} and {most:g} seconds"))
-def lasted(ctx, least, most):
-    assert least <= ctx["answer"].took_s <= most, ctx["answer"].took_s
+@then(parsers.parse("the stream lasted between {min_s:g} and {max_s:g} seconds"))
+def stream_lasted(ctx, min_s, max_s):
+    assert min_s <= ctx["answer"].elapsed_s <= max_s, ctx["answer"].elapsed_s
--- a/tests/router/callers.py
+++ b/tests/router/callers.py
@@ -8,7 +8,7 @@
 
 
 class Callers:
-    """Closed-loop callers per (team, router) until stopped; keeps every outcome."""
+    """Closed-loop callers for one or more teams, which run until stopped; records every outcome."""
 
     def __init__(self) -> None:
         self.outcomes: list = []
--- a/tests/router/conftest.py
+++ b/tests/router/conftest.py
@@ -1,4 +1,4 @@
-"""Steps shared by the router's features."""
+"""Steps shared by the features of the router."""
 
 import time
 
@@ -9,19 +9,21 @@
 
 @when(
     parsers.parse(
-        "flood keeps {many:d} callers busy and small keeps {few:d} for {seconds:d} seconds"
+        "flood keeps {flood_count:d} callers busy and small keeps {small_count:d} "
+        "for {seconds:d} seconds"
     )
 )
-def flood(fleet, ctx, many, few, seconds):
-    # The small team's callers see answers about as fast as if flood were absent: its
-    # requests are the least served, so each goes next; flood's twenty share what is left.
+def flood(fleet, ctx, flood_count, small_count, seconds):
+    # The small team's callers receive answers about as fast as without the other team: its usage is
+    # the lower one, so its requests are dispatched first, and the flood team's callers share the
+    # remaining capacity.
     callers = Callers()
     url = fleet.routers()[0].url
-    callers.add(url, "flood", many, 20)
-    callers.add(url, "small", few, 20)
+    callers.add(url, "flood", flood_count, 20)
+    callers.add(url, "small", small_count, 20)
     time.sleep(seconds)
     callers.finish()
-    ctx.update(callers=callers, many=many, few=few)
+    ctx.update(callers=callers, flood_count=flood_count, small_count=small_count)
 
 
 @then(
@@ -29,8 +31,8 @@
 )
 def small_not_starved(ctx, times):
     callers = ctx["callers"]
-    per_small = callers.tokens("small") / ctx["few"]
-    per_flood = callers.tokens("flood") / ctx["many"]
+    per_small = callers.tokens("small") / ctx["small_count"]
+    per_flood = callers.tokens("flood") / ctx["flood_count"]
     assert per_small >= times * per_flood, (per_small, per_flood)
 
 
--- a/tests/router/features/answers.feature
+++ b/tests/router/features/answers.feature
@@ -1,5 +1,5 @@
-Feature: Every caller receives its own whole answer
-  Scenario: Streamed answers of several teams interleave and each arrives whole to its caller
+Feature: Every caller receives the complete answer to its request
+  Scenario: Interleaved streams of several teams each arrive complete at their callers
     Given a fleet of 1 router and 2 engines with 2 slots each
     When 3 teams each stream 6 answers of 40 tokens at once
-    Then every answer is whole, in order and carries only its own request's tokens
+    Then every answer is complete, in order and contains only the tokens of its request
--- a/tests/router/test_answer_lost.py
+++ b/tests/router/test_answer_lost.py
@@ -7,8 +7,8 @@
 from turmerictray.config.routes import EngineSpec, ServiceSpec
 from turmerictray.core.ids import NodeId, ServiceName, TargetId, ZoneId
 from turmerictray.core.timer import Tick
+from turmerictray.router.active_config import ActiveConfig, RetryLimits
 from turmerictray.router.broker import Broker
-from turmerictray.router.text_in_force import RepeatLimits, TextInForce
 from turmerictray.routing.load import PendingPrefill, TargetInfo
 
 LLM, ENGINE = ServiceName("llm"), TargetId("e")
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def broker():
-    broker = Broker(NodeId("r1"), ZoneId("z"), 1, TextInForce(), RepeatLimits())
+    broker = Broker(NodeId("r1"), ZoneId("z"), 1, ActiveConfig(), RetryLimits())
     targets = broker.pools.unsharded(LLM).targets
     targets.set_spec(ServiceSpec(LLM, EngineSpec(64, 100_000)))
     targets.add_or_update(TargetInfo(ENGINE, LLM, "h:1", ZoneId("z"), 64))
--- a/tests/router/test_config_revert.py
+++ b/tests/router/test_config_revert.py
@@ -1,4 +1,4 @@
-"""The configuration in force never goes back, also across a restart."""
+"""The active configuration never reverts to an older revision, even across a restart."""
 
 import json
 import time
@@ -17,7 +17,7 @@
     return start_fleet(engines=1, routers=2, services=0, teams={"depot": 1.0})
 
 
-@given("revision 2 of the configuration is in force on every router")
+@given("revision 2 of the configuration is active on every router")
 def revision_two(fleet):
     newer = dict(fleet.config, limits={**fleet.config["limits"], "retry_after_s": 2.0})
     assert fleet.post_json("config", "/admin/publish", newer)["version"] == 2
@@ -26,25 +26,24 @@
         if all(fleet.get_json(p.name, "/status")["config_version"] == 2 for p in fleet.routers()):
             return
         time.sleep(0.1)
-    raise AssertionError("revision 2 not in force everywhere within 10 s")
+    raise AssertionError("revision 2 not active on every router within 10 s")
 
 
 @when("the configuration service falls back to revision 1")
-def stale(fleet):
+def serve_old_revision(fleet):
     fleet.post_json("config", "/admin/mode", {"mode": "stale", "revision": 1})
 
 
 @when("router-1 is killed and started again")
 def restart(fleet, ctx):
-    # The caller of router-1 must never be served under revision 1 again. The router comes
-    # back with no memory and the only text the service gives it is revision 1; its peer
-    # still has revision 2 in force. Taking revision 1 would undo an accepted change.
+    # Guards against a restart that undoes an accepted change: the router restarts without state
+    # and the service returns only revision 1, while revision 2 is still active on the peer.
     fleet.kill("router-1")
     ctx["router"] = fleet.restart("router-1")
 
 
-@then("every answer router-1 gives for 3 seconds carries configuration version 2 or newer")
-def no_revert(ctx):
+@then("every answer of router-1 for 3 seconds carries configuration version 2 or newer")
+def check_no_revert(ctx):
     url = ctx["router"].url + "/v1/chat/completions"
     versions = []
     first = None
@@ -63,11 +62,11 @@
     assert min(versions) >= 2, versions[:10]
 
 
-@then("the routers read it no more than 10 times a second together")
-def few_reads(fleet):
-    # Callers notice nothing, but the service counts every read of every router against one
-    # limit. A router whose watch names a revision newer than the service's own is answered at
-    # once, with the old text, and asks again at once.
+@then("all routers together read it no more than 10 times per second")
+def check_read_rate(fleet):
+    # Guards against polling without a pause: a watch that names a revision newer than the service's
+    # is answered immediately, with the old configuration, and the router would repeat it
+    # immediately. All routers share one read limit at the service.
     time.sleep(1.0)
     before = fleet.get_json("config", "/admin/stats")["reads"]
     time.sleep(3.0)
@@ -75,8 +74,8 @@
     assert reads <= 30, f"{reads} reads in 3 s"
 
 
-@then("revision 3, published when the service has caught up, is in force within 6 seconds")
-def caught_up(fleet):
+@then("revision 3, published after the service has recovered, is active within 6 seconds")
+def publish_revision_three(fleet):
     fleet.post_json("config", "/admin/mode", {"mode": "ok"})
     assert fleet.post_json("config", "/admin/publish", dict(fleet.config))["version"] == 3
     deadline = time.monotonic() + 6
@@ -85,10 +84,10 @@
         time.sleep(0.1)
 
 
-@when("router-0 is killed, the instance list calls it gone, and router-1 is restarted")
-def gone_and_restart(fleet):
-    # Callers of router-1 are refused until it knows that no peer has a newer configuration. A
-    # peer that is gone for good cannot tell; the instance list says not to wait for it.
+@when("router-0 is killed, the instance list marks it as gone, and router-1 is restarted")
+def remove_and_restart(fleet):
+    # Guards against a long start: router-1 refuses callers until it knows that no peer has a newer
+    # configuration. It must not wait for a peer that the instance list marks as gone.
     fleet.kill("router-0")
     fleet.post_json("instances", "/admin/set", {"id": "router-0", "state": "gone"})
     time.sleep(0.6)
@@ -96,8 +95,8 @@
     fleet.wait_ready(fleet.restart("router-1"))
 
 
-@then("router-1 is ready without having waited for router-0")
-def not_waited(fleet):
+@then("router-1 becomes ready without waiting for router-0")
+def check_no_wait(fleet):
     lines = (fleet.dir / "router-1.log").read_text().splitlines()
     ready = [line for line in lines if "event=ready" in line][-1]
     assert "timed_out=False" in ready, ready
--- a/tests/router/test_flood.py
+++ b/tests/router/test_flood.py
@@ -1,15 +1,16 @@
-"""A router to which all callers of one team come, many more than the team is given."""
+"""A router that receives all requests of one team, many more than the team's share."""
 
 from turmerictray.platform.standins.flood import flood_one_router
 
-SWITCHES_BEFORE = 89
-"""Waits of the router's threads a request at this rate, before refusals by the head alone; 7 after.
-Each is a wake-up, mostly to ask for the interpreter that another thread has."""
+BASELINE_SWITCHES_PER_REQUEST = 89
+"""Context switches of the router's threads per request at this rate before requests were refused by
+their heads alone; 7 afterwards. Most are wake-ups to request the interpreter lock from another
+thread."""
 
 
-def test_a_flooded_router_refuses_in_time_at_a_quarter_of_the_cost(tmp_path):
-    """Guards against threads that compete for the interpreter while callers wait unread."""
+def test_flooded_router_refuses_in_time_at_a_quarter_of_the_cost(tmp_path):
+    """Guards against threads that compete for the interpreter lock while requests wait unread."""
     report = flood_one_router(tmp_path, rate=300, seconds=4)
     assert set(report.outcomes) <= {"200", "429", "503"}, report.outcomes
-    assert report.refused_within_s(0.9) < 1.0
-    assert report.switches / report.sent < SWITCHES_BEFORE / 4
+    assert report.refusal_time_s(0.9) < 1.0
+    assert report.switches / report.sent < BASELINE_SWITCHES_PER_REQUEST / 4
--- a/tests/router/test_late_broker.py
+++ b/tests/router/test_late_broker.py
@@ -12,7 +12,7 @@
 from turmerictray.membership.messages import RouterSummary
 from turmerictray.router.gateway import Gateway
 from turmerictray.router.published import PublishedCopy
-from turmerictray.router.readers import StoreReaders
+from turmerictray.router.store_readers import StoreReaderSelection
 
 
 class LateBroker(pykka.ThreadingActor):
@@ -48,7 +48,7 @@
     gateway = Gateway.__new__(Gateway)
     gateway._broker = LateBroker.start()
     gateway._copy = PublishedCopy()
-    gateway._readers = StoreReaders(NodeId("r1"), ZoneId("z1"))
+    gateway._readers = StoreReaderSelection(NodeId("r1"), ZoneId("z1"))
     first, second = free_port(), free_port()
     exit_statuses = []
     monkeypatch.setattr("os._exit", exit_statuses.append)
@@ -66,7 +66,7 @@
             on_members=lambda members: None,
         )
         for name, port, seed, summary, on_peer in (
-            ("r1", first, second, gateway._own_summary, lambda message: None),
+            ("r1", first, second, gateway._build_summary, lambda message: None),
             ("r2", second, first, lambda: None, received.append),
         )
     ]
--- a/tests/router/test_placement_client.py
+++ b/tests/router/test_placement_client.py
@@ -10,10 +10,10 @@
 from turmerictray.core.ids import NodeId, RequestId, ServiceName, TargetId, TeamId, ZoneId
 from turmerictray.core.reply import Reply
 from turmerictray.membership.messages import MemberEntry
+from turmerictray.router.active_config import ActiveConfig
 from turmerictray.router.broker_messages import Ask, FirstEvent, Granted, Settled, Withdraw
 from turmerictray.router.placement_client import SCHEDULER_TIMEOUT_S, PlacementClient
 from turmerictray.router.scheduler import Scheduler
-from turmerictray.router.text_in_force import TextInForce
 from turmerictray.routing.load import TargetInfo
 from turmerictray.routing.prompt import PartId, Prompt, PromptPart
 from turmerictray.scheduling.choice import SchedulerChoice
@@ -86,12 +86,12 @@
         self.to_scheduler, self.to_client = FakeLink("tcp://client:2"), FakeLink(
             "tcp://scheduler:2"
         )
-        self.in_force = TextInForce()
+        self.active_config = ActiveConfig()
         self.client = PlacementClient(
             NodeId("client"),
             ZoneId("z"),
             self.local_broker,
-            self.in_force,
+            self.active_config,
             self.choice,
             self.to_scheduler,
         )
@@ -232,7 +232,7 @@
 def test_grant_of_leaving_target_is_returned(pair):
     # The scheduler is partitioned from the store and grants a target that has been published as
     # leaving. This router has read the newer entry and must not send work there.
-    pair.in_force.leaving = frozenset({ENGINE.id})
+    pair.active_config.unavailable_targets = frozenset({ENGINE.id})
     ask = pair.ask()
     pair.grant()
     assert not ask.reply.done()
@@ -282,7 +282,7 @@
 
 @pytest.fixture
 def sharded_pair(pair):
-    pair.in_force.shards = {LLM: ShardMap(TargetId(f"e{n}") for n in range(45))}
+    pair.active_config.shards = {LLM: ShardMap(TargetId(f"e{n}") for n in range(45))}
     return pair
 
 
@@ -313,7 +313,7 @@
     late = next(msg for msg in sharded_pair.to_scheduler.sent if isinstance(msg, PlaceRequest))
     sharded_pair.time_out_scheduler()
     assert sharded_pair.local_broker.asks()[0].shard == UNSHARDED
-    sharded_pair.local_broker.asks()[0].reply.give(Granted(ENGINE, 0.1, 100, 0))
+    sharded_pair.local_broker.asks()[0].reply.try_set_result(Granted(ENGINE, 0.1, 100, 0))
     sharded_pair.to_scheduler.is_partitioned = False
     sharded_pair.scheduler.handle_message(late)
     sharded_pair.grant()
--- a/tests/router/test_process_path.py
+++ b/tests/router/test_process_path.py
@@ -1,4 +1,4 @@
-"""The caller's path through real router and stand-in processes."""
+"""Path of a request through a real router process and stand-in targets."""
 
 import signal
 import threading
@@ -21,18 +21,18 @@
 
 
 def _stream_many(url: str, jobs: list[tuple[str, int]]) -> list:
-    results = [None] * len(jobs)
+    outcomes = [None] * len(jobs)
 
-    def one(idx: int, team: str, tokens: int) -> None:
-        results[idx] = call_stream(urllib3.PoolManager(retries=False), url, team, tokens)
+    def run_one(idx: int, team: str, tokens: int) -> None:
+        outcomes[idx] = call_stream(urllib3.PoolManager(retries=False), url, team, tokens)
 
     threads = [
-        threading.Thread(target=one, args=(i, team, tokens))
+        threading.Thread(target=run_one, args=(i, team, tokens))
         for i, (team, tokens) in enumerate(jobs)
     ]
-    for thr in threads:
-        thr.start()
-    return threads, results
+    for thread in threads:
+        thread.start()
+    return threads, outcomes
 
 
 @given(
@@ -66,18 +66,18 @@
 @given(
     parsers.parse(
         'a fleet of 1 router and 1 engine with {slots:d} slots, teams "{a}" of '
-        'weight {wa:d} and "{b}" of weight {wb:d}'
+        'weight {weight_a:d} and "{b}" of weight {weight_b:d}'
     ),
     target_fixture="fleet",
 )
-def fleet_weighted(start_fleet, slots, a, wa, b, wb):
+def fleet_weighted(start_fleet, slots, a, weight_a, b, weight_b):
     return start_fleet(
         engines=1,
         engine_slots=slots,
         routers=1,
         services=0,
         tokens_per_s=400.0,
-        teams={a: float(wa), b: float(wb)},
+        teams={a: float(weight_a), b: float(weight_b)},
     )
 
 
@@ -95,14 +95,14 @@
 def stream_teams(fleet, ctx, teams, count, tokens):
     names = ["depot", "riders", "kiosks"][:teams]
     jobs = [(names[i % teams], tokens) for i in range(teams * count)]
-    threads, results = _stream_many(fleet.routers()[0].url, jobs)
-    for thr in threads:
-        thr.join(60)
-    ctx["outcomes"] = results
+    threads, outcomes = _stream_many(fleet.routers()[0].url, jobs)
+    for thread in threads:
+        thread.join(60)
+    ctx["outcomes"] = outcomes
 
 
-@then("every answer is whole, in order and carries only its own request's tokens")
-def all_whole(ctx):
+@then("every answer is complete, in order and contains only the tokens of its request")
+def check_complete_answers(ctx):
     bad = [o for o in ctx["outcomes"] if o is None or not o.ok]
     assert not bad, bad[:3]
 
@@ -112,15 +112,15 @@
     url = fleet.routers()[0].url
     tokens = {"heavy": 0, "light": 0}
     lock = threading.Lock()
-    warm_until = time.monotonic() + 1.0
-    stop_at = warm_until + seconds
+    warmup_ends_at = time.monotonic() + 1.0
+    stop_at = warmup_ends_at + seconds
 
     def caller(team: str) -> None:
         http = urllib3.PoolManager(retries=False)
         while time.monotonic() < stop_at:
             out = call_stream(http, url, team, 20)
             assert out.ok, out
-            if time.monotonic() > warm_until:
+            if time.monotonic() > warmup_ends_at:
                 with lock:
                     tokens[team] += out.tokens
 
@@ -129,24 +129,24 @@
         for team in ("heavy", "light")
         for _ in range(callers)
     ]
-    for thr in threads:
-        thr.start()
-    for thr in threads:
-        thr.join(60)
+    for thread in threads:
+        thread.start()
+    for thread in threads:
+        thread.join(60)
     ctx["tokens"] = tokens
 
 
 @then(parsers.parse("heavy received between {low:f} and {high:f} times the tokens of light"))
-def weighted_share(ctx, low, high):
+def check_token_ratio(ctx, low, high):
     ratio = ctx["tokens"]["heavy"] / max(1, ctx["tokens"]["light"])
     assert low <= ratio <= high, ctx["tokens"]
 
 
 @when(parsers.parse('a caller books an order with idempotency key "{key}"'))
-def book(fleet, ctx, key):
-    # The caller sees 502 outcome_unknown. The router sends the order, the service runs it
-    # and breaks the connection mid-answer; the router may not retry, because the order may
-    # have run, and may not say "not run", because that would be false.
+def book_order(fleet, ctx, key):
+    # The service runs the order and resets the connection during its answer. Guards against a
+    # retry, which would run the order twice, and against a false "not run" answer. The caller
+    # receives 502 outcome_unknown.
     resp = HTTP.request(
         "POST",
         fleet.routers()[0].url + "/svc/orders/book",
@@ -157,15 +157,15 @@
     ctx["resp"] = resp
 
 
-@then("the caller is told the outcome is unknown")
-def told_unknown(ctx):
+@then("the caller receives an unknown outcome")
+def check_outcome_unknown(ctx):
     resp = ctx["resp"]
     assert resp.status == 502, (resp.status, resp.data)
     assert b"outcome_unknown" in resp.data
 
 
 @then(parsers.parse('the plain service ran "{key}" exactly once'))
-def ran_once(fleet, key):
+def check_ran_once(fleet, key):
     time.sleep(0.5)
     assert fleet.get_json("orders-0", "/admin/stats")["executions"] == {key: 1}
 
@@ -176,10 +176,10 @@
     )
 )
 def sigterm_midway(fleet, ctx, count, tokens):
-    # The callers see whole answers: SIGTERM starts a drain, so the router refuses new work
-    # but relays every accepted stream to its end before the process exits.
+    # SIGTERM starts a drain: the router refuses new requests, but relays every accepted stream to
+    # its end before the process exits. Guards against streams that are cut by a shutdown.
     router = fleet.routers()[0]
-    threads, results = _stream_many(router.url, [("depot", tokens)] * count)
+    threads, outcomes = _stream_many(router.url, [("depot", tokens)] * count)
     time.sleep(0.4)
     fleet.signal(router.name, signal.SIGTERM)
     time.sleep(0.1)
@@ -194,20 +194,20 @@
         ctx["late"] = (late.status, late.headers.get("Retry-After"), late.data)
     except urllib3.exceptions.HTTPError:
         ctx["late"] = None
-    for thr in threads:
-        thr.join(60)
-    ctx["outcomes"] = results
+    for thread in threads:
+        thread.join(60)
+    ctx["outcomes"] = outcomes
     ctx["router"] = router
 
 
-@then(parsers.parse("all {count:d} answers arrive whole"))
-def all_arrive(ctx, count):
+@then(parsers.parse("all {count:d} answers are complete"))
+def check_all_complete(ctx, count):
     assert len(ctx["outcomes"]) == count
-    all_whole(ctx)
+    check_complete_answers(ctx)
 
 
-@then("a new request is refused as not run with Retry-After, or finds the router gone")
-def late_refused(ctx):
+@then("a new request is refused as not_run with Retry-After or can no longer connect")
+def check_late_request(ctx):
     late = ctx["late"]
     if late is not None:
         status, retry_after, body = late
@@ -215,15 +215,14 @@
 
 
 @then("the router exits with status 0")
-def exits_zero(ctx):
+def check_exit_status(ctx):
     assert ctx["router"].popen.wait(30) == 0
 
 
 @when(parsers.parse("the instance list marks {target} as leaving and {seconds:d} seconds pass"))
 def mark_leaving(fleet, ctx, target, seconds):
-    # The caller sees nothing: its answers come from the other engine. The list shows the
-    # change after its lag, the router polls it, and from then on grants no slot on the
-    # leaving engine, so within a few seconds it gets no new work.
+    # The instance list shows the change after a delay and the router polls it. From then on the
+    # router grants no slot on the leaving engine; callers receive answers from the other engine.
     fleet.post_json("instances", "/admin/set", {"id": target, "state": "leaving"})
     time.sleep(seconds)
     ctx["before"] = sum(fleet.get_json(target, "/admin/stats")["executions"].values())
@@ -232,13 +231,13 @@
 
 @when(parsers.parse("{count:d} answers are requested"))
 def request_answers(fleet, ctx, count):
-    threads, results = _stream_many(fleet.routers()[0].url, [("depot", 10)] * count)
-    for thr in threads:
-        thr.join(60)
-    ctx["outcomes"] = results
+    threads, outcomes = _stream_many(fleet.routers()[0].url, [("depot", 10)] * count)
+    for thread in threads:
+        thread.join(60)
+    ctx["outcomes"] = outcomes
 
 
-@then(parsers.parse("{target} received none of them"))
-def none_received(fleet, ctx, target):
+@then(parsers.parse("{target} receives none of them"))
+def check_no_new_work(fleet, ctx, target):
     after = sum(fleet.get_json(target, "/admin/stats")["executions"].values())
     assert after == ctx["before"]
--- a/tests/router/test_progress.py
+++ b/tests/router/test_progress.py
@@ -1,4 +1,4 @@
-"""What may still be done with a request, and what its caller may be told."""
+"""When a request may be retried, and which errors its caller may receive."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -26,7 +26,7 @@
         NoTarget("no_target", 0.5),
     ]
 )
-steps = st.lists(st.sampled_from(["before_send", "not_run", "maybe_ran"]), max_size=5)
+outcome_lists = st.lists(st.sampled_from(["before_send", "not_run", "maybe_ran"]), max_size=5)
 
 
 def make_progress(kind: RouteKind, attempts: int, resumable: bool = False) -> Progress:
@@ -35,50 +35,57 @@
     return Progress(route)
 
 
-def play(progress: Progress, taken: list[str]) -> None:
+def record_outcomes(progress: Progress, outcomes: list[str]) -> None:
     actions = {
-        "before_send": progress.failed_before_send,
-        "not_run": progress.not_run,
-        "maybe_ran": progress.maybe_ran,
+        "before_send": progress.record_send_failure,
+        "not_run": progress.record_not_run,
+        "maybe_ran": progress.record_possible_run,
     }
-    for number, step in enumerate(taken):
+    for number, step in enumerate(outcomes):
         actions[step](f"t{number}")
 
 
-@given(st.sampled_from(RouteKind), st.booleans(), st.integers(1, 4), steps, causes, st.booleans())
-def test_refusals_are_true(kind, resumable, attempts, taken, cause, timed_out):
-    # A refusal promises that nothing ran and nothing will. A caller that believes a false one sends
-    # its order again, and two vans arrive.
+@given(
+    st.sampled_from(RouteKind),
+    st.booleans(),
+    st.integers(1, 4),
+    outcome_lists,
+    causes,
+    st.booleans(),
+)
+def test_refusal_implies_not_run(kind, resumable, attempts, outcomes, cause, timed_out):
+    # A refusal promises that the request has not run and will not run. After a false one the caller
+    # sends its order again, and it runs twice.
     progress = make_progress(kind, attempts, resumable)
-    play(progress, taken)
-    told = progress.failure(cause, timed_out)
-    assert not (isinstance(told, AdmissionError) and "maybe_ran" in taken)
-    if "maybe_ran" in taken:
-        assert isinstance(told, OutcomeUnknown | TimedOut)
+    record_outcomes(progress, outcomes)
+    error = progress.final_error(cause, timed_out)
+    assert not (isinstance(error, AdmissionError) and "maybe_ran" in outcomes)
+    if "maybe_ran" in outcomes:
+        assert isinstance(error, OutcomeUnknown | TimedOut)
 
 
-@given(st.sampled_from(RouteKind), st.booleans(), st.integers(1, 4), steps)
-def test_what_may_have_run_is_only_sent_again_where_that_is_allowed(
-    kind, resumable, attempts, taken
+@given(st.sampled_from(RouteKind), st.booleans(), st.integers(1, 4), outcome_lists)
+def test_request_that_may_have_run_is_retried_only_if_repeatable(
+    kind, resumable, attempts, outcomes
 ):
     progress = make_progress(kind, attempts, resumable)
-    play(progress, taken)
-    if progress.may_try_again(1.0):
-        assert progress.route.repeatable or "maybe_ran" not in taken
-        assert len(taken) - taken.count("before_send") < attempts
+    record_outcomes(progress, outcomes)
+    if progress.allows_retry(1.0):
+        assert progress.route.repeatable or "maybe_ran" not in outcomes
+        assert len(outcomes) - outcomes.count("before_send") < attempts
 
 
-def test_stream_goes_on_only_from_a_known_place():
+def test_stream_resumes_only_after_event_with_id():
     progress = make_progress(RouteKind.STREAMING, 3, resumable=True)
-    progress.answering = True
-    progress.maybe_ran("t0")
-    assert progress.may_try_again(1.0)
-    progress.note_events([Event(b"data: a\n\n", None)])
-    assert not progress.may_try_again(1.0)
-    progress.note_events([Event(b"id: 4\ndata: a\n\n", "4")])
-    assert progress.may_try_again(1.0)
-    assert progress.last_event == "4"
+    progress.answer_started = True
+    progress.record_possible_run("t0")
+    assert progress.allows_retry(1.0)
+    progress.record_events([Event(b"data: a\n\n", None)])
+    assert not progress.allows_retry(1.0)
+    progress.record_events([Event(b"id: 4\ndata: a\n\n", "4")])
+    assert progress.allows_retry(1.0)
+    assert progress.last_event_id == "4"
 
 
-def test_no_try_without_time():
-    assert not make_progress(RouteKind.IDEMPOTENT, 3).may_try_again(0.01)
+def test_no_attempt_without_time_left():
+    assert not make_progress(RouteKind.IDEMPOTENT, 3).allows_retry(0.01)
--- a/tests/router/test_queue_timeout.py
+++ b/tests/router/test_queue_timeout.py
@@ -86,7 +86,7 @@
     def tell(self, msg: object) -> None:
         self.received.append(msg)
         if isinstance(msg, Admit):
-            msg.reply.give(Grant(TARGET, "http://e0", 1))
+            msg.reply.try_set_result(Grant(TARGET, "http://e0", 1))
             time.sleep(TIMEOUT_S + 0.05)
 
 
--- a/tests/router/test_shard_pools.py
+++ b/tests/router/test_shard_pools.py
@@ -9,6 +9,7 @@
 from turmerictray.core.ids import NodeId, RequestId, ServiceName, TargetId, TeamId, ZoneId
 from turmerictray.core.reply import Reply
 from turmerictray.core.timer import Tick
+from turmerictray.router.active_config import ActiveConfig, RetryLimits
 from turmerictray.router.broker import Broker
 from turmerictray.router.broker_messages import (
     Ask,
@@ -19,7 +20,6 @@
     TargetsListed,
     Withdraw,
 )
-from turmerictray.router.text_in_force import RepeatLimits, TextInForce
 from turmerictray.routing.load import TargetInfo
 from turmerictray.routing.prompt import PartId, Prompt, PromptPart
 from turmerictray.scheduling.messages import ServiceGiven
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def broker():
-    broker = Broker(NodeId("r1"), ZoneId("z"), 1, TextInForce(), RepeatLimits())
+    broker = Broker(NodeId("r1"), ZoneId("z"), 1, ActiveConfig(), RetryLimits())
     broker.pools.unsharded(LLM).targets.set_spec(ServiceSpec(LLM, EngineSpec(1, 600_000)))
     broker.on_receive(TargetsListed(INFOS))
     return broker
@@ -62,9 +62,9 @@
 
 
 def test_engines_are_divided_into_shards_once_listed(broker):
-    assert broker.in_force.shards[LLM].count == 2
+    assert broker.active_config.shards[LLM].count == 2
     broker.on_receive(TargetsChanged(gone=[info.id for info in INFOS[9:]]))
-    assert broker.in_force.shards[LLM].count == 1
+    assert broker.active_config.shards[LLM].count == 1
 
 
 def test_shard_grants_only_its_engines_and_shares_their_load(broker):
@@ -116,4 +116,4 @@
     ask(broker, 1, SHARD)
     broker.pools.unsharded(LLM).targets.set_spec(ServiceSpec(LLM))
     broker.on_receive(TargetsChanged(gone=[INFOS[0].id]))
-    assert LLM not in broker.in_force.shards
+    assert LLM not in broker.active_config.shards
--- /dev/null
+++ b/tests/router/test_store_readers.py
@@ -0,0 +1,146 @@
+"""Selection of the routers that read the store, and when the other routers read it themselves."""
+
+from itertools import pairwise
+
+import pytest
+
+from turmerictray.core.ids import NodeId, ZoneId
+from turmerictray.membership.messages import MemberEntry
+from turmerictray.router.published import Position, StorePosition
+from turmerictray.router.store_readers import READERS_PER_ZONE, StoreReaderSelection
+
+HAS_DOCUMENTS = Position(3, StorePosition(0, 7))
+
+
+class Clock:
+    now = 100.0
+
+    def __call__(self) -> float:
+        return self.now
+
+
+def members(count: int, zones: int = 4) -> list[MemberEntry]:
+    return [MemberEntry(f"r{n}", f"z{n % zones}", f"tcp://r{n}", 1, 20) for n in range(count)]
+
+
+@pytest.fixture
+def clock():
+    return Clock()
+
+
+@pytest.fixture
+def fleet(clock):
+    entries = members(79)
+    fleet = {e.node: StoreReaderSelection(NodeId(e.node), ZoneId(e.zone), clock) for e in entries}
+    for readers in fleet.values():
+        readers.update_members(entries)
+    return fleet
+
+
+def current_readers(fleet) -> list[str]:
+    return [node for node, readers in fleet.items() if readers.should_read(HAS_DOCUMENTS)]
+
+
+def test_two_routers_per_zone_read(fleet):
+    assert len(current_readers(fleet)) <= 79
+    for readers in fleet.values():
+        readers.record_peer_age(1.0)
+    readers_found = current_readers(fleet)
+    assert len(readers_found) == 4 * READERS_PER_ZONE
+    assert {fleet[node].zone for node in readers_found} == {"z0", "z1", "z2", "z3"}
+
+
+def test_removed_readers_are_replaced(fleet):
+    """Guards against a zone that receives no more changes after its readers were killed."""
+    for readers in fleet.values():
+        readers.record_peer_age(1.0)
+    removed = current_readers(fleet)
+    remaining = [entry for entry in members(79) if entry.node not in removed]
+    for entry in remaining:
+        fleet[entry.node].update_members(remaining)
+    remaining_readers = {node: readers for node, readers in fleet.items() if node not in removed}
+    assert len(current_readers(remaining_readers)) == 4 * READERS_PER_ZONE
+
+
+def test_routers_with_stale_data_begin_to_read_in_turn(fleet, clock):
+    """Guards against reads by the whole fleet while the store is unavailable."""
+    # The store refuses the designated readers, or their reports are lost.
+    others = [readers for readers in fleet.values() if not readers.is_designated()]
+    for readers in others:
+        readers.record_peer_age(1.0)
+    counts = [0]
+    for _ in range(16):
+        clock.now += 1.0
+        counts.append(sum(readers.should_read(HAS_DOCUMENTS) for readers in others))
+    assert counts[5] == 0
+    assert 0 < counts[6] <= 4
+    # One more router of each of the four zones begins per second; after ten steps all the others.
+    assert all(later - earlier <= 4 for earlier, later in pairwise(counts[:16]))
+    assert counts[-1] == len(others)
+
+
+def test_router_stops_reading_after_fresh_peer_report(fleet, clock):
+    other = next(r for r in fleet.values() if not r.is_designated())
+    other.record_peer_age(1.0)
+    clock.now += 15.5
+    assert other.should_read(HAS_DOCUMENTS)
+    other.record_peer_age(0.5)
+    assert not other.should_read(HAS_DOCUMENTS)
+
+
+def test_starting_router_waits_for_peers_first(clock):
+    entries = members(79)
+    non_reader = next(
+        r
+        for r in (StoreReaderSelection(NodeId(e.node), ZoneId(e.zone), clock) for e in entries)
+        if not (r.update_members(entries) or r.is_designated())
+    )
+    assert not non_reader.should_read(Position())
+    assert not non_reader.should_read(Position(3, StorePosition(0, 0)))
+    clock.now += 2.9
+    assert not non_reader.should_read(Position(3, StorePosition(0, 0)))
+    clock.now += 10.2
+    assert non_reader.should_read(Position(3, StorePosition(0, 0)))
+
+
+def test_only_designated_readers_poll_while_nothing_is_published(clock):
+    """Guards against reads by the whole fleet until the first documents are published."""
+    entries = members(195, zones=5)
+    fleet = [StoreReaderSelection(NodeId(e.node), ZoneId(e.zone), clock) for e in entries]
+    for readers in fleet:
+        readers.update_members(entries)
+    for _ in range(10):
+        clock.now += 1.0
+        for readers in fleet:
+            readers.record_peer_age(1.0)
+        assert sum(readers.should_read(Position()) for readers in fleet) == 5 * READERS_PER_ZONE
+
+
+def test_age_is_infinite_before_first_read(clock):
+    readers = StoreReaderSelection(NodeId("r1"), ZoneId("z1"), clock)
+    clock.now += 0.5
+    assert readers.age_s() > 1000
+
+
+def test_router_without_peers_reads_after_timeout(clock):
+    readers = StoreReaderSelection(NodeId("r1"), ZoneId("z1"), clock)
+    only_itself = [MemberEntry("r1", "z1", "tcp://r1", 1, 1)]
+    readers.update_members(only_itself)
+    assert not readers.should_read(Position())
+    clock.now += 1.1
+    readers.update_members(only_itself)
+    assert readers.should_read(Position())
+
+
+def test_routers_that_start_together_do_not_all_read(clock):
+    """Guards against routers that designate themselves readers while they know few members."""
+    few = [MemberEntry(f"r{n}", "z1", f"tcp://r{n}", 1, 2) for n in range(2)]
+    starting = StoreReaderSelection(NodeId("r0"), ZoneId("z1"), clock)
+    seed = StoreReaderSelection(NodeId("r1"), ZoneId("z1"), clock, is_seed=True)
+    for readers in (starting, seed):
+        readers.record_peer_age(0.5)
+        readers.update_members(few)
+    assert not starting.should_read(HAS_DOCUMENTS)
+    assert seed.should_read(HAS_DOCUMENTS)
+    starting.update_members([MemberEntry(e.node, e.zone, e.address, 1, 6) for e in few])
+    assert starting.should_read(HAS_DOCUMENTS)
--- a/tests/router/test_suspect_isolation.py
+++ b/tests/router/test_suspect_isolation.py
@@ -18,6 +18,7 @@
     ZoneId,
 )
 from turmerictray.core.reply import Reply
+from turmerictray.router.active_config import ActiveConfig, RetryLimits
 from turmerictray.router.broker import Broker
 from turmerictray.router.broker_messages import (
     Ask,
@@ -27,7 +28,6 @@
     TargetsChanged,
     TargetsListed,
 )
-from turmerictray.router.text_in_force import RepeatLimits, TextInForce
 from turmerictray.routing.load import CRASH_ATTRIBUTION_S, TargetInfo, TargetPhase
 from turmerictray.routing.prompt import PartId, Prompt, PromptPart
 
@@ -39,7 +39,7 @@
 
 @pytest.fixture
 def broker():
-    broker = Broker(NodeId("r1"), ZoneId("z"), 1, TextInForce(), RepeatLimits())
+    broker = Broker(NodeId("r1"), ZoneId("z"), 1, ActiveConfig(), RetryLimits())
     broker.pools.unsharded(LLM).targets.set_spec(ServiceSpec(LLM, EngineSpec(8, 600_000)))
     infos = [TargetInfo(TargetId(f"e{n}"), LLM, f"h:{n}", ZoneId("z"), 8) for n in range(5)]
     broker.on_receive(TargetsListed(infos))
@@ -135,8 +135,8 @@
     broker.on_receive(TargetsChanged(changed=[replace(infos["e1"], phase=TargetPhase.LEAVING)]))
     broker.on_receive(TargetLeaving(LLM, TargetId("e2")))
     broker.on_receive(TargetsChanged(gone=[TargetId(f"e{n}") for n in range(3)]))
-    assert broker.in_force.leaving == {"e0", "e1", "e2"}
-    assert broker.in_force.announced == {"e1", "e2"}
+    assert broker.active_config.unavailable_targets == {"e0", "e1", "e2"}
+    assert broker.active_config.announced_leaving == {"e1", "e2"}
 
 
 def known_targets(broker: Broker) -> list[TargetInfo]:
--- a/tests/router/test_unanswered_request.py
+++ b/tests/router/test_unanswered_request.py
@@ -10,9 +10,9 @@
 from turmerictray.core.ids import RequestId, ServiceName
 from turmerictray.router.broker_messages import Ask, Withdraw
 from turmerictray.router.dialect import Envelope
-from turmerictray.router.routed import Routed
-from turmerictray.router.run import Parts, RequestRun
-from turmerictray.transport.hangup import Call
+from turmerictray.router.routed_request import RoutedRequest
+from turmerictray.router.run import RequestDependencies, RequestRun
+from turmerictray.transport.disconnect import CancellableCall
 
 
 class SilentPlacementClient:
@@ -30,11 +30,13 @@
     envelope = Envelope(RequestId("q"), None, 5.0, None, [])
     llm = ServiceName("llm")
     head = SimpleNamespace(method="POST", host="h", target="/plan/1")
-    routed = Routed(7, head, b"", envelope, SimpleNamespace(), llm, None, bounds, 1)
+    routed = RoutedRequest(7, head, b"", envelope, SimpleNamespace(), llm, None, bounds, 1)
     exchange = SimpleNamespace(finish_reading=lambda: None)
-    call = Call(SimpleNamespace(fileno=lambda: 3))
-    run = RequestRun(Parts(client, None, None), routed, exchange, call, SimpleNamespace())
+    call = CancellableCall(SimpleNamespace(fileno=lambda: 3))
+    run = RequestRun(
+        RequestDependencies(client, None, None), routed, exchange, call, SimpleNamespace()
+    )
     with pytest.raises(QueueTimeout):
-        run._ask()
+        run._request_target()
     assert [type(msg) for msg in client.messages] == [Ask, Withdraw]
     assert client.messages[1] == Withdraw(7, llm)
--- a/tests/transport/test_abort.py
+++ b/tests/transport/test_abort.py
@@ -1,4 +1,4 @@
-"""An answer that is given up before it began."""
+"""Abort of an answer before its head is sent."""
 
 import socket
 import threading
@@ -11,9 +11,9 @@
 
 @pytest.fixture
 def errors(monkeypatch):
-    found = []
-    monkeypatch.setattr(server_module, "log_event", lambda event, **fields: found.append(event))
-    return found
+    logged = []
+    monkeypatch.setattr(server_module, "log_event", lambda event, **fields: logged.append(event))
+    return logged
 
 
 @pytest.fixture
@@ -25,10 +25,10 @@
     front._server.stop()
 
 
-def test_connection_closes_without_a_byte_and_without_an_error(address, errors):
-    # The caller hung up, or closed only its sending side, while its request waited. The server then
-    # sent a head with no status, which raised, and told a caller who still read that the router
-    # had failed, with a 500 and for a request that may have run.
+def test_abort_before_answer_closes_connection_silently(address, errors):
+    # When a caller disconnected, or closed only its sending side, while its request was pending,
+    # the server tried to send a head without a status. That raised an error, and a caller that was
+    # still reading got a 500 for a request that may have run.
     with socket.create_connection(address) as caller:
         caller.settimeout(5)
         caller.sendall(b"GET /ping/1 HTTP/1.1\r\nHost: shop.example\r\n\r\n")
--- a/tests/transport/test_accepting.py
+++ b/tests/transport/test_accepting.py
@@ -1,4 +1,4 @@
-"""Callers who connect while the server is busy with connections that are kept open."""
+"""New connections while the server is busy with open keep-alive connections."""
 
 import socket
 
@@ -17,8 +17,8 @@
     server.stop()
 
 
-def test_all_callers_that_wait_are_accepted_in_one_turn(server):
-    """Guards against new callers who wait one turn each behind kept connections."""
+def test_all_pending_connections_are_accepted_in_one_iteration(server):
+    """Guards against new callers that each wait one loop iteration behind open connections."""
     callers = [socket.create_connection(server.bind_addr) for _ in range(CALLERS)]
     try:
         server.process_conn(server._connections._from_server_socket(server.socket))
--- a/tests/transport/test_framing.py
+++ b/tests/transport/test_framing.py
@@ -1,4 +1,4 @@
-"""Heads of requests that two parsers could read differently are refused."""
+"""Refusal of request heads that are ambiguous between parsers."""
 
 import io
 
@@ -37,7 +37,7 @@
         read(*lines)
 
 
-def test_head_that_ends_early_is_refused():
+def test_truncated_head_is_refused():
     with pytest.raises(FramingError):
         StrictHeaderReader()(io.BytesIO(b"Host: a\r\nX-A: 1"))
 
--- a/tests/transport/test_framing_fuzz.py
+++ b/tests/transport/test_framing_fuzz.py
@@ -1,4 +1,4 @@
-"""Seeded requests with odd framings at a real front; FRAMINGS sets how many."""
+"""Seeded requests with unusual framing against a real server; FRAMINGS sets their number."""
 
 import os
 import random
@@ -9,20 +9,20 @@
 from turmerictray.core.errors import CallerError, CallerGone
 from turmerictray.transport.server import FrontServer
 
-CASES = int(os.environ.get("FRAMINGS", "1000"))
+CASE_COUNT = int(os.environ.get("FRAMINGS", "1000"))
 SEED = 7
-HIDDEN = b"GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n"
-"""Stands in each body. Whoever finds its end at another place takes it for a request."""
+SMUGGLED = b"GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n"
+"""Contained in each body; a parser that ends the body too early takes it for a request."""
 
 PROBE = b"GET /probe HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
-_ANSWER_S = 3.0
+_ANSWER_TIMEOUT_S = 3.0
 
 
-class Front:
-    """A front that answers each request with its target, and notes what it was asked."""
+class RecordingServer:
+    """A server that answers each request with its target and records the requests."""
 
     def __init__(self) -> None:
-        self.asked: list[tuple[str, bytes]] = []
+        self.received: list[tuple[str, bytes]] = []
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             self.address = free.getsockname()
@@ -38,12 +38,12 @@
         except CallerGone:
             exchange.abort()
             return
-        self.asked.append((exchange.head.target, body))
+        self.received.append((exchange.head.target, body))
         exchange.answer(200, [("X-Target", exchange.head.target)], b"")
 
-    def ask(self, data: bytes) -> bytes:
-        """Everything that comes back for these bytes until the connection is closed."""
-        with socket.create_connection(self.address, timeout=_ANSWER_S) as sock:
+    def send_raw(self, data: bytes) -> bytes:
+        """Send ``data`` and return everything received until the connection is closed."""
+        with socket.create_connection(self.address, timeout=_ANSWER_TIMEOUT_S) as sock:
             got = b""
             try:
                 sock.sendall(data)
@@ -51,20 +51,20 @@
                 while piece := sock.recv(65536):
                     got += piece
             except ConnectionError:
-                # Closed with bytes unread, which is how a doubtful body ends.
+                # The server closes the connection with bytes unread after an ambiguous body.
                 return got
             return got
 
 
 @pytest.fixture(scope="module")
 def front():
-    made = Front()
-    yield made
-    made.server.stop()
+    recording = RecordingServer()
+    yield recording
+    recording.server.stop()
 
 
-def chunked(body: bytes, rng: random.Random) -> bytes:
-    """A body in chunks, some of whose heads are odd."""
+def encode_chunked(body: bytes, rng: random.Random) -> bytes:
+    """Return ``body`` in chunks, some of them with an unusual header line."""
     data, at = b"", 0
     while at < len(body):
         piece = body[at : at + rng.randint(1, 40)]
@@ -77,8 +77,8 @@
     return data + rng.choice([b"0\r\n\r\n", b"0\r\nX-T: 1\r\n\r\n", b"00\r\n\r\n", b"-0\r\n\r\n"])
 
 
-def framing(rng: random.Random, length: int) -> list[bytes]:
-    """Header lines that say, more or less clearly, where a body of ``length`` ends."""
+def make_framing_headers(rng: random.Random, length: int) -> list[bytes]:
+    """Return header lines, some of them ambiguous, that frame a body of ``length`` bytes."""
     size = b"%d" % length
     lengths = [
         size,
@@ -114,8 +114,8 @@
     return lines
 
 
-def says_less(lines: list[bytes], length: int) -> bool:
-    """Whether a head says clearly that its body ends before ``length`` bytes."""
+def ends_body_early(lines: list[bytes], length: int) -> bool:
+    """Return whether a head unambiguously ends its body before ``length`` bytes."""
     named = [line.partition(b":") for line in lines]
     framed = [
         (name.lower(), value.strip(b" \t"))
@@ -128,31 +128,31 @@
     return not more and name == b"content-length" and value.isdigit() and int(value) < length
 
 
-def draw(rng: random.Random) -> tuple[bytes, bool]:
-    """A request, and whether it says in the plainest way where its body ends."""
-    body = b"x" * rng.randint(0, 60) + HIDDEN + b"y" * rng.randint(0, 60)
-    lines = framing(rng, len(body))
-    while says_less(lines, len(body)):
-        lines = framing(rng, len(body))
+def make_request(rng: random.Random) -> tuple[bytes, bool]:
+    """Return a request and whether its framing is entirely regular."""
+    body = b"x" * rng.randint(0, 60) + SMUGGLED + b"y" * rng.randint(0, 60)
+    lines = make_framing_headers(rng, len(body))
+    while ends_body_early(lines, len(body)):
+        lines = make_framing_headers(rng, len(body))
     is_chunked = any(line.lower().startswith(b"transfer-encoding") for line in lines)
-    sent = chunked(body, rng) if is_chunked else body
+    sent = encode_chunked(body, rng) if is_chunked else body
     head = [b"POST /odd HTTP/1.1", b"Host: a", *lines, b"", b""]
     end = rng.choice([b"\r\n"] * 9 + [b"\n"])
     is_plain = lines == [b"Content-Length: %d" % len(body)] and end == b"\r\n"
     return end.join(head) + sent, is_plain
 
 
-def test_no_bytes_of_a_body_are_answered(front):
-    """Guards against a body whose rest is taken for the next caller's request."""
+def test_bytes_of_body_are_never_answered(front):
+    """Guards against the rest of a body being parsed as the next caller's request."""
     rng = random.Random(SEED)
-    for _ in range(CASES):
-        data, is_plain = draw(rng)
-        got = front.ask(data + PROBE)
+    for _ in range(CASE_COUNT):
+        data, is_plain = make_request(rng)
+        got = front.send_raw(data + PROBE)
         statuses = [mark[:3] for mark in got.split(b"HTTP/1.1 ")[1:]]
         assert len(statuses) <= 2, (data, got)
-        assert not any(target == "/hidden" for target, _ in front.asked), data
+        assert not any(target == "/hidden" for target, _ in front.received), data
         if is_plain:
             assert statuses == [b"200", b"200"], (data, got)
         if statuses and statuses[0] != b"200":
             assert statuses[0][:1] in b"45" and len(statuses) == 1, (data, got)
-        front.asked.clear()
+        front.received.clear()
--- a/tests/transport/test_probe.py
+++ b/tests/transport/test_probe.py
@@ -1,4 +1,4 @@
-"""A router whose callers wait unread says that it is not ready."""
+"""Detection of overload: callers that wait too long to be accepted or read."""
 
 import socket
 import threading
@@ -17,7 +17,7 @@
 
 
 @pytest.fixture
-def probe_of():
+def start_probe():
     probes = []
 
     def make(address) -> FrontProbe:
@@ -31,14 +31,14 @@
         probe.stop()
 
 
-def wait_for(reached, seconds: float = 5.0) -> bool:
-    end = time.monotonic() + seconds
-    while not reached() and time.monotonic() < end:
+def wait_for(condition, timeout_s: float = 5.0) -> bool:
+    end = time.monotonic() + timeout_s
+    while not condition() and time.monotonic() < end:
         time.sleep(0.02)
-    return reached()
+    return condition()
 
 
-def answer_all(listener) -> None:
+def answer_all_connections(listener) -> None:
     while True:
         try:
             sock, _ = listener.accept()
@@ -48,21 +48,21 @@
             sock.sendall(b"HTTP/1.1 400 Bad Request\r\n\r\n")
 
 
-def test_connections_that_nobody_takes_are_noticed_and_their_end_as_well(listener, probe_of):
-    """Guards against a router that says it is ready while it accepts no connection."""
-    probe = probe_of(listener.getsockname())
-    assert not probe.is_late()
-    assert wait_for(probe.is_late)
-    threading.Thread(target=answer_all, args=(listener,), daemon=True).start()
-    assert wait_for(lambda: not probe.is_late())
+def test_unaccepted_connections_are_detected_until_accepted(listener, start_probe):
+    """Guards against a router that reports ready while it accepts no connections."""
+    probe = start_probe(listener.getsockname())
+    assert not probe.is_overloaded()
+    assert wait_for(probe.is_overloaded)
+    threading.Thread(target=answer_all_connections, args=(listener,), daemon=True).start()
+    assert wait_for(lambda: not probe.is_overloaded())
 
 
-def test_requests_that_are_accepted_and_not_read_are_noticed(probe_of):
-    begun, enough = threading.Semaphore(0), threading.Event()
+def test_accepted_but_unread_requests_are_detected(start_probe):
+    started, finish = threading.Semaphore(0), threading.Event()
 
     def handle(exchange):
-        begun.release()
-        enough.wait(10)
+        started.release()
+        finish.wait(10)
 
     front = FrontServer("127.0.0.1", 0, handle, threads=2)
     front.start()
@@ -70,25 +70,25 @@
     try:
         for caller in callers:
             caller.sendall(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-            begun.acquire(timeout=5)
-        probe = probe_of(front._server.bind_addr)
-        assert wait_for(probe.is_late)
-        enough.set()
-        assert wait_for(lambda: not probe.is_late())
+            started.acquire(timeout=5)
+        probe = start_probe(front._server.bind_addr)
+        assert wait_for(probe.is_overloaded)
+        finish.set()
+        assert wait_for(lambda: not probe.is_overloaded())
     finally:
-        enough.set()
+        finish.set()
         for caller in callers:
             caller.close()
         front.stop()
 
 
-def test_a_front_that_answers_or_is_not_there_is_not_late(probe_of):
+def test_responsive_or_stopped_server_is_not_overloaded(start_probe):
     front = FrontServer("127.0.0.1", 0, lambda exchange: None, threads=2)
     front.start()
     address = front._server.bind_addr
-    probe = probe_of(address)
+    probe = start_probe(address)
     try:
-        assert not wait_for(probe.is_late, 1.2)
+        assert not wait_for(probe.is_overloaded, 1.2)
     finally:
         front.stop()
-    assert not wait_for(probe.is_late, 1.2)
+    assert not wait_for(probe.is_overloaded, 1.2)
--- a/tests/transport/test_heads.py
+++ b/tests/transport/test_strict_server.py
@@ -1,13 +1,13 @@
-"""A request head that takes too long ends its connection, and its caller is told why."""
+"""Time limit of request heads, and the status that a slow caller gets."""
 
-from turmerictray.transport import heads
-from turmerictray.transport.heads import HeadDeadlines
+from turmerictray.transport import strict_server
+from turmerictray.transport.strict_server import HeadDeadlines
 
 LIMIT_S = 3.0
 
 
 class FakeSocket:
-    """Remembers that reading from it was stopped."""
+    """Records whether reading from it was stopped."""
 
     def __init__(self) -> None:
         self.stopped = False
@@ -17,18 +17,18 @@
 
 
 class FakeConnection:
-    """A connection with such a socket."""
+    """A connection with a fake socket."""
 
     def __init__(self) -> None:
         self.socket = FakeSocket()
 
 
 def test_single_read_times_out_before_the_whole_head_does(monkeypatch):
-    # A caller sends half a head and stops. Its read times out after the limit and answers 408. If
-    # the deadline of the whole head struck at the same moment, the read would see an early end and
-    # answer 400, which tells the caller that its request was malformed.
+    # When a caller sends half a head and stops, the read times out after the limit and the caller
+    # gets a 408. If the deadline of the whole head expired at the same moment, the read would see a
+    # closed connection and the caller would get a 400, as if its request were malformed.
     now = 100.0
-    monkeypatch.setattr(heads.time, "monotonic", lambda: now)
+    monkeypatch.setattr(strict_server.time, "monotonic", lambda: now)
     deadlines = HeadDeadlines()
     conn = FakeConnection()
     deadlines.begin(conn)
@@ -40,9 +40,9 @@
     assert conn.socket.stopped
 
 
-def test_head_that_has_arrived_is_left_alone(monkeypatch):
+def test_deadline_ends_once_head_has_arrived(monkeypatch):
     now = 100.0
-    monkeypatch.setattr(heads.time, "monotonic", lambda: now)
+    monkeypatch.setattr(strict_server.time, "monotonic", lambda: now)
     deadlines = HeadDeadlines()
     conn = FakeConnection()
     deadlines.begin(conn)
--- a/tests/transport/test_threads.py
+++ b/tests/transport/test_threads.py
@@ -1,4 +1,4 @@
-"""Threads of a server, of which there are as many as were needed at once."""
+"""Thread pool of a server that grows with the number of concurrent requests."""
 
 import threading
 from types import SimpleNamespace
@@ -11,13 +11,13 @@
 class FakeConn:
     """A connection with one request, which lasts until the test ends it."""
 
-    def __init__(self, ended: threading.Event, begun: threading.Semaphore) -> None:
-        self._ended, self._begun = ended, begun
+    def __init__(self, finish: threading.Event, started: threading.Semaphore) -> None:
+        self._finish, self._started = finish, started
         self.rfile = SimpleNamespace(closed=True)
 
     def communicate(self) -> bool:
-        self._begun.release()
-        self._ended.wait(10)
+        self._started.release()
+        self._finish.wait(10)
         return False
 
     def close(self) -> None:
@@ -34,36 +34,36 @@
     pool.stop(2)
 
 
-def test_requests_do_not_wait_for_each_other_up_to_the_limit(pool):
-    ended, begun = threading.Event(), threading.Semaphore(0)
+def test_pool_grows_up_to_limit(pool):
+    finish, started = threading.Event(), threading.Semaphore(0)
     for _ in range(50):
-        pool.put(FakeConn(ended, begun))
+        pool.put(FakeConn(finish, started))
     try:
-        assert all(begun.acquire(timeout=5) for _ in range(50))
+        assert all(started.acquire(timeout=5) for _ in range(50))
         assert len(pool._threads) == 50
-        pool.put(FakeConn(ended, begun))
+        pool.put(FakeConn(finish, started))
         assert len(pool._threads) == 50
     finally:
-        ended.set()
+        finish.set()
 
 
-def test_threads_that_are_free_are_used_again(pool):
-    ended, begun = threading.Event(), threading.Semaphore(0)
-    ended.set()
-    first = len(pool._threads)
+def test_idle_threads_are_reused(pool):
+    finish, started = threading.Event(), threading.Semaphore(0)
+    finish.set()
+    initial_count = len(pool._threads)
     for _ in range(100):
-        pool.put(FakeConn(ended, begun))
-        assert begun.acquire(timeout=5)
-    assert len(pool._threads) <= first + 16
+        pool.put(FakeConn(finish, started))
+        assert started.acquire(timeout=5)
+    assert len(pool._threads) <= initial_count + 16
 
 
-def test_a_machine_without_room_for_threads_leaves_the_ones_there_are(pool, monkeypatch):
+def test_existing_threads_serve_if_no_more_can_be_started(pool, monkeypatch):
     def refuse():
         raise RuntimeError("can't start new thread")
 
     monkeypatch.setattr(pool, "_spawn_worker", refuse)
-    ended, begun = threading.Event(), threading.Semaphore(0)
+    finish, started = threading.Event(), threading.Semaphore(0)
     for _ in range(40):
-        pool.put(FakeConn(ended, begun))
-    ended.set()
-    assert all(begun.acquire(timeout=5) for _ in range(40))
+        pool.put(FakeConn(finish, started))
+    finish.set()
+    assert all(started.acquire(timeout=5) for _ in range(40))
--- a/turmerictray/__init__.py
+++ b/turmerictray/__init__.py
@@ -1,21 +1,41 @@
-"""turmerictray: entry routers that share one pool of model capacity fairly between teams.
+"""turmerictray: entry routers that share pools of model capacity fairly between teams.
 
-The package is divided by concern:
+The subpackages are:
 
 ``core``
-    Identifiers, the exception tree, logging, the timer service and the application object.
+    Identifiers, the exception hierarchy, logging, metrics, actors, the timer service and the
+    application object.
 ``config``
-    The platform's configuration text and the daemon's settings, both checked on load.
+    The configuration that operators publish and the settings of each process, both validated on
+    load.
+``transport``
+    HTTP servers and connections to targets.
+``admission``
+    The decision whether a request is dispatched, queued, retried or refused.
 ``fairness``
-    The per-team service ledger and the fair queue that orders a router's backlog.
+    The usage ledger of the teams and the fair queue of a router's pending requests.
 ``routing``
-    The router's view of targets and the choice of a target for a request.
+    The router's model of its targets and the choice of a target for a request.
+``scheduling``
+    The division of engines between the routers that place prompts, and their messages.
+``membership``
+    The routers of the fleet and the gossip between them.
+``orders``
+    Claims on the keys of non-idempotent requests, so that each runs at most once in the fleet.
+``placement``
+    Orders to engines to load the models that the configuration assigns to them.
 ``router``
-    The entry-instance daemon: HTTP front, dispatcher, upstream calls, watchers, peer link.
+    The entry instance: HTTP front, dispatcher, upstream calls, watchers and peer link.
+``platform``
+    Adapters to the platform: its documents, headers, store and engines.
 ``standins``
-    Small stand-ins for the platform's systems, each its own process.
+    Minimal substitutes for the platform's systems, each a process of its own.
 ``loadtool``
-    The load and experiment tool and its reports.
+    Load generator, experiments and their reports.
+``analysis``
+    Evaluation of the routers' logs.
+``simulation``
+    Routers and engines in virtual time, with the production decision code.
 ``cli``
     The command-line tool.
 """
--- a/turmerictray/cli/checks.py
+++ b/turmerictray/cli/checks.py
@@ -60,9 +60,9 @@
 
 
 def _check_routes(file: Path) -> str:
-    from turmerictray.platform.documents import decode_text
+    from turmerictray.platform.documents import decode_routing_config
 
-    text = decode_text(_read(file))
+    text = decode_routing_config(_read(file))
     return (
         f"routing text version {text.version}, {len(text.routes)} routes, "
         f"{len(text.services)} services, {len(text.teams)} teams"
@@ -70,9 +70,9 @@
 
 
 def _check_node(file: Path) -> str:
-    from turmerictray.platform.settings import gateway_settings, load_node_file
+    from turmerictray.platform.settings import build_gateway_settings, load_node_file
 
-    settings = gateway_settings(load_node_file(str(file)))
+    settings = build_gateway_settings(load_node_file(str(file)))
     return f"settings of {settings.node} in {settings.zone}, {len(settings.seeds)} seeds"
 
 
--- a/turmerictray/cli/soak.py
+++ b/turmerictray/cli/soak.py
@@ -33,7 +33,7 @@
     workdir
         Where settings and logs go, in a folder for each seed; new temporary folders by default.
     """
-    from turmerictray.platform.soak.run import SoakSize, format_soak, run_soak
+    from turmerictray.platform.soak.run import SoakOptions, format_soak, run_soak
 
     if routers < 2 or min(seeds, seconds, callers) <= 0:
         print("error: at least 2 routers, 1 seed, 1 caller, and some seconds", file=sys.stderr)
@@ -41,7 +41,7 @@
     broken = 0
     for number in range(seed, seed + seeds):
         folder = workdir / f"seed{number}" if workdir else None
-        report = run_soak(number, SoakSize(seconds, routers, callers=callers), folder)
+        report = run_soak(number, SoakOptions(seconds, routers, callers=callers), folder)
         print(format_soak(report), flush=True)
         broken += bool(report.violations)
     return 1 if broken else 0
--- a/turmerictray/config/__init__.py
+++ b/turmerictray/config/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's configuration text and the processes' settings files, both checked on load."""
+"""The published configuration and the settings files of processes, both validated on load."""
--- a/turmerictray/config/load.py
+++ b/turmerictray/config/load.py
@@ -1,7 +1,7 @@
-"""Decoding and checking of the configuration text and of settings files.
+"""Decoding and validation of configurations and of settings files.
 
-Every refusal names the field (as a JSON path such as ``$.services[1].targets[0].url``) and the
-reason; a refused text changes nothing in force.
+Every error names the field (as a JSON path such as ``$.services[1].targets[0].url``) and the
+reason. A rejected configuration does not affect the active one.
 """
 
 from graphlib import CycleError, TopologicalSorter
@@ -15,17 +15,17 @@
 
 T = TypeVar("T")
 
-MAX_TEXT_BYTES = 1 << 20
-"""The platform holds values of up to a megabyte."""
+MAX_CONFIG_BYTES = 1 << 20
+"""The platform stores values of up to 1 MiB."""
 
 
 def parse_config(text: bytes | str) -> Config:
-    """Decode and check a configuration text.
+    """Decode and validate a configuration.
 
     Parameters
     ----------
     text : bytes or str
-        JSON text, at most 1 MiB.
+        The configuration as JSON, at most 1 MiB.
 
     Returns
     -------
@@ -34,22 +34,22 @@
     Raises
     ------
     ConfigError
-        When the text is not JSON, does not match the schema, or is inconsistent.
+        If the text is too long, is not JSON, does not match the schema, or is inconsistent.
     """
     raw = text.encode() if isinstance(text, str) else text
-    if len(raw) > MAX_TEXT_BYTES:
+    if len(raw) > MAX_CONFIG_BYTES:
         raise ConfigError(f"text is {len(raw)} bytes, over the 1 MiB limit")
     try:
         cfg = msgspec.json.decode(raw, type=Config)
     except msgspec.ValidationError as exc:
-        raise ConfigError(str(exc), _claimed_version(raw)) from exc
+        raise ConfigError(str(exc), _version_of_invalid(raw)) from exc
     except msgspec.DecodeError as exc:
         raise ConfigError(f"not JSON: {exc}") from exc
     _check_consistency(cfg)
     return cfg
 
 
-def _claimed_version(raw: bytes) -> int | None:
+def _version_of_invalid(raw: bytes) -> int | None:
     try:
         doc = msgspec.json.decode(raw)
     except msgspec.DecodeError:
@@ -72,7 +72,7 @@
 
 
 def _check_consistency(cfg: Config) -> None:
-    fail = _failer(cfg.version)
+    fail = _make_fail(cfg.version)
     svc_names = [svc.name for svc in cfg.services]
     for name in _duplicates(svc_names):
         fail(f"service name {name!r} is used twice - at `$.services`")
@@ -100,7 +100,7 @@
         fail(f"default team {cfg.default_team!r} is not a team - at `$.default_team`")
 
 
-def _failer(version: int):
+def _make_fail(version: int):
     def fail(reason: str) -> None:
         raise ConfigError(reason, version)
 
@@ -108,14 +108,14 @@
 
 
 def load_settings(path: str | Path, kind: type[T]) -> T:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Parameters
     ----------
     path : str or Path
         A JSON file.
     kind : type
-        The ``msgspec.Struct`` type the file must match.
+        The ``msgspec.Struct`` type that the file must match.
 
     Returns
     -------
@@ -125,8 +125,8 @@
     Raises
     ------
     SettingsError
-        When the file cannot be read, is not JSON, or does not match ``kind``; the message
-        names the file, the field and the reason.
+        If the file cannot be read, is not JSON, or does not match ``kind``; the message names
+        the file, the field and the reason.
     """
     source = str(path)
     try:
--- a/turmerictray/config/routes.py
+++ b/turmerictray/config/routes.py
@@ -1,7 +1,7 @@
-"""Routes, services and teams of a routing text, as the routers use them.
+"""Routes, services and teams of a routing configuration, as the routers use them.
 
-A routing text says which request goes to which service and what may be done with it. It is
-immutable: a router swaps the whole text when a newer version arrives.
+A routing configuration defines which requests go to which service and how they may be handled. It
+is immutable: a router replaces it as a whole when a newer version arrives.
 """
 
 from dataclasses import dataclass, field
@@ -11,7 +11,7 @@
 
 
 class RouteKind(Enum):
-    """What a route promises about its requests."""
+    """Kind of a route; decides whether its requests can be retried."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class Backend:
-    """A service behind a route and its share of the route's requests."""
+    """A service behind a route, with the weight of its share of the route's requests."""
 
     service: ServiceName
     weight: float = 1.0
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Route:
-    """What the operator says of the requests under one host and path prefix.
+    """Rules for the requests under one host and path prefix.
 
     Attributes
     ----------
@@ -37,19 +37,20 @@
     kind : RouteKind
     backends : tuple of Backend
     timeout_s : float
-        The longest time a request may go without its final answer, in seconds.
+        Upper bound on the time from a request to its final answer, in seconds.
     objective_s : float
-        The answer (of a stream: its first event) earns its full worth within this time.
+        Latency objective in seconds: an answer (of a stream: its first event) within this time
+        has its full value.
     gap_s : float
-        Longest pause between two events of a stream that is still on time, in seconds.
+        Longest pause between two events of a stream that counts as on time, in seconds.
     max_attempts : int
-        Targets that one request may be sent to.
+        Number of targets that a request may be sent to.
     priority : int
-        0 is the most urgent.
+        Priority of the requests; 0 is the most urgent.
     public : bool
-        Requests need no key.
+        Whether requests need no API key.
     resumable : bool
-        A broken stream may go on at another target after its last event.
+        Whether a broken stream may be continued on another target after its last event.
     """
 
     name: str
@@ -67,44 +68,44 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request that may have run may be sent once more."""
+        """Whether a request that may have run can be sent again."""
         if self.kind is RouteKind.STREAMING:
             return self.resumable
         return self.kind is RouteKind.IDEMPOTENT
 
     def service_for(self, draw: float) -> ServiceName:
-        """The service for a uniform ``draw`` in [0, 1), by the backends' weights."""
+        """Select the service for a uniform ``draw`` in [0, 1), by the weights of the backends."""
         total = sum(backend.weight for backend in self.backends)
-        mark = draw * total
+        remaining = draw * total
         for backend in self.backends:
-            mark -= backend.weight
-            if mark < 0:
+            remaining -= backend.weight
+            if remaining < 0:
                 return backend.service
         return self.backends[-1].service
 
 
 @dataclass(frozen=True)
 class EngineSpec:
-    """What the text says of the model engines of a service.
+    """Properties of the model engines of a service.
 
     Attributes
     ----------
     slots : int
-        Requests an engine runs at once.
+        Requests that an engine runs concurrently.
     memory_tokens : int
-        Tokens that running requests and kept prompt parts share.
-    fetch_per_s : float
-        Kept tokens that one engine can hand to another in a second; 0 where they can't.
+        Memory of an engine, in tokens, which running requests and cached prompt parts share.
+    fetch_tokens_per_s : float
+        Cached tokens that an engine can fetch from another one per second; 0 if it cannot.
     """
 
     slots: int
     memory_tokens: int
-    fetch_per_s: float = 0.0
+    fetch_tokens_per_s: float = 0.0
 
 
 @dataclass(frozen=True)
 class ServiceSpec:
-    """A service; ``engine`` is None for a plain one."""
+    """A service; ``engine`` is None for a plain service."""
 
     name: ServiceName
     engine: EngineSpec | None = None
@@ -112,7 +113,7 @@
 
 @dataclass(frozen=True)
 class TeamSpec:
-    """A team, the keys its callers present, and its weight in the shared pool."""
+    """A team, the API keys of its callers, and its weight in the sharing of capacity."""
 
     name: TeamId
     keys: frozenset[str] = frozenset()
@@ -121,7 +122,7 @@
 
 @dataclass(frozen=True)
 class FrontLimits:
-    """Bounds on what a caller may send; sizes in bytes, times in seconds."""
+    """Limits on what a caller may send; sizes in bytes, times in seconds."""
 
     header_bytes: int = 16384
     body_bytes: int = 4 << 20
@@ -130,16 +131,16 @@
 
 
 @dataclass(frozen=True)
-class RoutingText:
-    """One version of the operators' text.
+class RoutingConfig:
+    """One version of the routing configuration that operators publish.
 
     Attributes
     ----------
     version : int
-        Grows with each change.
+        Increases with each change.
     tokens_per_s : float
-        What the engines together produce, a token generated counting as two tokens read; 0 when
-        the text does not say.
+        Throughput of all engines together in prompt tokens per second, with a generated token
+        counted as two prompt tokens; 0 if the configuration does not specify it.
     """
 
     version: int
@@ -160,17 +161,17 @@
         object.__setattr__(self, "_team_by_key", keys)
 
     def match(self, host: str, path: str) -> Route | None:
-        """The route with the longest prefix that begins ``path``, or None."""
+        """Find the route with the longest prefix of ``path``, or None."""
         for route in self._by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def team_of(self, key: str) -> TeamId | None:
-        """The team that holds ``key``, or None."""
+        """Find the team that the API key belongs to, or None."""
         return self._team_by_key.get(key)
 
     @property
     def keys_needed(self) -> bool:
-        """Whether the text names teams, so that callers must present a key."""
+        """Whether teams are defined, so that callers must send an API key."""
         return bool(self.teams)
--- a/turmerictray/config/schema.py
+++ b/turmerictray/config/schema.py
@@ -1,7 +1,7 @@
-"""Schema of the configuration text that operators write and the platform publishes.
+"""Schema of the configuration that operators write and the platform publishes.
 
-The text is JSON; :func:`turmerictray.config.load.parse_config` decodes it into these types and
-checks what a schema cannot say (unique names, dependencies that exist).
+The configuration is JSON; :func:`turmerictray.config.load.parse_config` decodes it into these types
+and validates what the schema cannot express (unique names, dependencies that exist).
 """
 
 from enum import Enum
@@ -16,17 +16,18 @@
 
 
 class ServiceKind(Enum):
-    """What a service is: a pool of model engines or a plain service."""
+    """Kind of a service: a pool of model engines or a plain service."""
 
     MODEL = "model"
     PLAIN = "plain"
 
 
-class CutPolicy(Enum):
-    """What to do with a non-idempotent request when its key's homes cannot be reached.
+class PartitionPolicy(Enum):
+    """What to do with a non-idempotent request if the claim replicas of its key are unreachable.
 
-    ``refuse`` keeps at-most-once: the request is refused as not run. ``serve`` runs it, and a
-    copy sent through a router on the other side of a cut may run too.
+    ``refuse`` preserves at-most-once execution: the request is refused without being run. ``serve``
+    runs it, although a copy sent through a router on the other side of a network partition may run
+    too.
     """
 
     REFUSE = "refuse"
@@ -34,23 +35,23 @@
 
 
 class Target(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One back end instance of a service.
+    """One backend instance of a service.
 
     Attributes
     ----------
     id : str
-        Unique across the text.
+        Unique in the configuration.
     url : str
         Base URL, for example ``http://127.0.0.1:9101``.
     zone : str
-        Availability zone the target stands in.
+        Availability zone of the target.
     slots : int
-        Requests the target serves at once (its batch size).
+        Requests that the target serves concurrently (its batch size).
     fencing : bool
-        Whether the target refuses orders that carry an old fencing number.
+        Whether the target refuses model orders with an outdated fencing number.
     models : list of str
-        For an engine, the models, adapters and versions it is ordered to have loaded; none means
-        that the routers give it no orders.
+        For an engine, the models, adapters and versions that the routers order it to load; if
+        empty, the routers send it no model orders.
     """
 
     id: Name
@@ -62,25 +63,25 @@
 
 
 class Service(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A service of the deployment and what it depends on.
+    """A service of the deployment and its dependencies.
 
     Attributes
     ----------
     name : str
-        Unique service name; plain services are reached at ``/svc/<name>/...``.
+        Unique service name; a plain service is reached at ``/svc/<name>/...``.
     kind : ServiceKind
         ``model`` or ``plain``.
     targets : list of Target
-        Its back end instances.
+        Its backend instances.
     depends_on : list of str
-        Names of services this one calls.
+        Names of the services that this one calls.
     models : list of str
-        For a model pool, the model names it serves.
+        For a model pool, the names of the models that it serves.
     idempotent : bool
-        Whether every call of the service may be repeated.
+        Whether calls of the service may be run more than once.
     non_idempotent_paths : list of str
-        Paths of a plain service whose calls run at most once, whatever ``idempotent`` says.
-    when_cut : CutPolicy
+        Paths of a plain service whose calls run at most once, regardless of ``idempotent``.
+    when_cut : PartitionPolicy
         For non-idempotent requests while routers cannot reach each other.
     """
 
@@ -91,18 +92,18 @@
     models: list[Name] = msgspec.field(default_factory=list)
     idempotent: bool = True
     non_idempotent_paths: list[str] = msgspec.field(default_factory=list)
-    when_cut: CutPolicy = CutPolicy.REFUSE
+    when_cut: PartitionPolicy = PartitionPolicy.REFUSE
 
 
 class Team(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A team sharing the pool.
+    """A team that shares the capacity of the services.
 
     Attributes
     ----------
     id : str
         Team name, sent by callers in the ``X-Team`` header.
     weight : float
-        Its share relative to other teams; service is compared after dividing by weight.
+        Its share relative to other teams; usage is divided by the weight before it is compared.
     api_keys : list of str
         Bearer keys that identify the team instead of the header.
     """
@@ -118,18 +119,19 @@
     Attributes
     ----------
     order_memory_s : float
-        How long the routers remember the key of a non-idempotent request; a caller must not
-        send the same key again later than this.
+        How long the routers store the key of a non-idempotent request; a caller must not
+        send the same key again after this time.
     catch_up_tokens : float
-        The most service, in tokens per unit of weight, that one waiting team may be owed
-        against another, for example after a partition heals.
+        Upper bound on the usage, in tokens per unit of weight, by which a waiting team may lag
+        behind another one and still be compensated, for example after a partition heals.
     max_header_bytes, max_body_bytes : int
-        Largest head and body of a caller's request.
+        Maximum size of the head and of the body of a caller's request.
     header_timeout_s : float
-        Longest time a request's head may take to arrive.
+        Timeout for receiving the head of a request.
     idle_timeout_s : float
-        How long an idle connection of a caller is kept. Longer than callers and balancers commonly
-        keep theirs: if the router closed first, their next request would meet a closed connection.
+        How long an idle connection of a caller is kept open. Longer than the usual timeout of
+        callers and load balancers: if the router closed the connection first, their next request
+        would be sent on a closed connection.
     """
 
     queue_per_team: Count = 256
@@ -148,17 +150,17 @@
 
 
 class Config(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The whole configuration text.
+    """A complete configuration.
 
     Attributes
     ----------
     version : int
-        Increases with every accepted change; a router never goes back to a lower one.
+        Increases with every accepted change; a router never returns to a lower version.
     services : list of Service
     teams : list of Team
     limits : Limits
     default_team : str or None
-        Team for callers that name none; without it such callers are refused.
+        Team of callers that do not name one; if None, such callers are refused.
     """
 
     version: Annotated[int, msgspec.Meta(ge=1)]
@@ -168,11 +170,14 @@
     default_team: Name | None = None
 
     def service(self, name: str) -> Service | None:
-        """The service called ``name``, or None."""
+        """Find the service called ``name``, or None."""
         return next((svc for svc in self.services if svc.name == name), None)
 
     def model_service(self, model: str | None) -> Service | None:
-        """The model pool serving ``model``; the first pool when ``model`` is None or unlisted."""
+        """Find the model pool that serves ``model``.
+
+        Falls back to the first pool if ``model`` is None or if no pool lists any models.
+        """
         pools = [svc for svc in self.services if svc.kind is ServiceKind.MODEL]
         for svc in pools:
             if model in svc.models:
--- a/turmerictray/config/settings.py
+++ b/turmerictray/config/settings.py
@@ -1,6 +1,6 @@
-"""Settings files of the router daemon and the stand-ins.
+"""Schema of the settings files of the router and the stand-ins.
 
-A process learns its addresses and its zone from its settings, never from the machine.
+A process takes its addresses and its zone from its settings and never detects them.
 """
 
 from typing import Annotated
@@ -26,9 +26,9 @@
     Attributes
     ----------
     node, zone : str
-        As in that router's own settings.
+        Identity of the peer, as in its settings.
     heartbeat, claims : str
-        Its ``peer_listen`` and ``claims_listen`` as this router reaches them.
+        The peer's ``peer_listen`` and ``claims_listen``, as reachable from this router.
     """
 
     node: Annotated[str, msgspec.Meta(min_length=1)]
@@ -43,25 +43,25 @@
     Attributes
     ----------
     node, zone : str
-        The router's identity.
+        Identity of the router.
     listen : Listen
-        Its HTTP front for callers and operators.
+        Address of the HTTP front for callers and operators.
     peer_listen : str
-        Where peers subscribe to its heartbeats, ``tcp://host:port``.
+        Address at which peers subscribe to its heartbeats, ``tcp://host:port``.
     claims_listen : str
-        Where peers claim keys of non-idempotent requests, ``tcp://host:port``.
+        Address at which peers claim keys of non-idempotent requests, ``tcp://host:port``.
     peers : list of PeerSettings
-        Every other router of the deployment, up or down; the same on all of them, since the
-        homes of a key follow from it.
+        All other routers of the deployment, running or not. All routers must agree on the
+        deployment's routers, because the claim replicas of a key are derived from them.
     config_url : str
-        The configuration service.
+        URL of the configuration service.
     instances_url : str or None
-        The instance list.
+        URL of the instance list.
     bootstrap_config : str or None
-        A configuration file used only while the service has never answered.
+        A configuration file that is used only until the configuration service first answers.
     threads : int
-        Callers' requests held at once, waiting or being answered; one team may hold as many as
-        are still free.
+        Callers' requests that are handled concurrently, waiting or being answered; one team may
+        use as many threads as are free.
     """
 
     node: Annotated[str, msgspec.Meta(min_length=1)]
@@ -87,22 +87,22 @@
 
 
 class EngineSettings(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Settings of the model engine stand-in.
+    """Settings of the stand-in for a model engine.
 
     Attributes
     ----------
     slots : int
-        Requests decoded at once (continuous batching); the rest wait in arrival order.
+        Requests decoded concurrently (continuous batching); the others wait in arrival order.
     tokens_per_s : float
         Decode rate of one slot, in tokens per second.
     prefill_tokens_per_s : float
-        Prefill rate for prompt tokens not found in the prefix cache.
+        Prefill rate for prompt tokens that are not in the prefix cache.
     prefix_cache_entries : int
-        Prefixes the cache holds (least recently used goes first).
+        Capacity of the prefix cache, in prefixes; the least recently used one is evicted first.
     load_lag_s : float
-        Age of the load figures the engine reports.
+        Age of the load figures that the engine reports, in seconds.
     check_fencing : bool
-        Refuse orders that carry a fencing number lower than one already seen.
+        Whether to refuse model orders with a lower fencing number than one already seen.
     """
 
     id: str
@@ -118,7 +118,7 @@
 
 
 class ServiceSettings(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Settings of the plain service stand-in."""
+    """Settings of the stand-in for a plain service."""
 
     id: str
     listen: Listen
@@ -128,14 +128,14 @@
 
 
 class ConfigServiceSettings(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Settings of the configuration service stand-in.
+    """Settings of the stand-in for the configuration service.
 
     Attributes
     ----------
     initial : str
-        Path of the first configuration text it publishes.
+        Path of the first configuration that it publishes.
     reads_per_s : float
-        Global read limit across all readers; a waiting watch counts once.
+        Limit on the reads per second of all readers together; a waiting watch counts once.
     """
 
     listen: Listen
@@ -145,12 +145,12 @@
 
 
 class InstanceListSettings(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Settings of the instance list stand-in.
+    """Settings of the stand-in for the instance list.
 
     Attributes
     ----------
     lag_s : float
-        How late a change shows in what the list publishes.
+        Delay until a change appears in the published list, in seconds.
     """
 
     listen: Listen
--- a/turmerictray/config/snapshot.py
+++ b/turmerictray/config/snapshot.py
@@ -1,25 +1,30 @@
-"""The configuration in force, shared read-only with threads outside the dispatcher."""
+"""The active configuration, shared read-only with threads other than the dispatcher's."""
 
 from turmerictray.config.routes import FrontLimits
 from turmerictray.config.schema import Config, Limits
 
 
 class ConfigSnapshot:
-    """Holds the configuration in force.
+    """Holds the active configuration.
 
-    Only the dispatcher replaces ``current``; a ``Config`` is frozen, so readers see either the
-    old or the new one whole.
+    Only the dispatcher replaces ``current``. A ``Config`` is immutable, so readers see either the
+    old or the new configuration, never a mixture.
+
+    Attributes
+    ----------
+    current : Config or None
+        The active configuration; None before the first.
     """
 
     def __init__(self) -> None:
         self.current: Config | None = None
 
     def limits(self) -> Limits:
-        """The limits in force; the schema's defaults before the first configuration."""
+        """Return the active limits; the defaults of the schema before the first configuration."""
         return self.current.limits if self.current is not None else Limits()
 
     def front_limits(self) -> FrontLimits:
-        """Bounds on what a caller may send."""
+        """Return the active limits on what a caller may send."""
         limits = self.limits()
         return FrontLimits(
             limits.max_header_bytes,
--- a/turmerictray/config/state.py
+++ b/turmerictray/config/state.py
@@ -1,13 +1,18 @@
-"""The configuration in force on one router: it only moves forward."""
+"""The active configuration of a router, whose version never decreases."""
 
 from turmerictray.config.schema import Config, Limits
 
 
 class ConfigState:
-    """Holds the newest accepted configuration and refuses older ones.
+    """Holds the newest accepted configuration and rejects older ones.
 
-    A router can meet an old text from a stale configuration service or from a slow peer; taking
-    it would make a change revert, so only a strictly higher version is taken.
+    A router can receive an old configuration from a stale configuration service or from a slow
+    peer. Accepting it would revert a change, so only strictly higher versions are accepted.
+
+    Attributes
+    ----------
+    current : Config or None
+        The active configuration; None before the first.
     """
 
     def __init__(self) -> None:
@@ -15,25 +20,25 @@
 
     @property
     def version(self) -> int:
-        """Version in force, 0 before the first."""
+        """Version of the active configuration, 0 before the first."""
         return self.current.version if self.current else 0
 
     def limits(self) -> Limits:
-        """The limits in force; the schema's defaults before the first configuration."""
+        """Return the active limits; the defaults of the schema before the first configuration."""
         return self.current.limits if self.current else Limits()
 
     def offer(self, cfg: Config) -> bool:
-        """Take ``cfg`` if it is newer than the one in force.
+        """Activate ``cfg`` if it is newer than the active configuration.
 
         Parameters
         ----------
         cfg : Config
-            An already checked configuration.
+            A validated configuration.
 
         Returns
         -------
         bool
-            True when ``cfg`` is now in force.
+            True if ``cfg`` is now active.
         """
         if cfg.version <= self.version:
             return False
--- a/turmerictray/core/__init__.py
+++ b/turmerictray/core/__init__.py
@@ -1,1 +1,1 @@
-"""Pieces shared by every process: ids, errors, logs, timers and the application object."""
+"""Infrastructure shared by all processes: ids, errors, logs, metrics, actors and timers."""
--- a/turmerictray/core/actor.py
+++ b/turmerictray/core/actor.py
@@ -1,4 +1,4 @@
-"""Actors that don't keep their process, questions to them with a time limit, and their end."""
+"""Actor base classes, queries to actors with a timeout, and the stop of all actors."""
 
 import os
 import time
@@ -10,40 +10,41 @@
 from turmerictray.core.logs import log_event
 
 ACTOR_FAILED_EXIT = 71
-"""Exit status of a process whose actor failed."""
+"""Exit status of a process that ends because one of its actors failed."""
 
-_LOGGED_S = 0.2
-"""Time for the log line to be written."""
+_LOG_FLUSH_S = 0.2
+"""Time that the log thread gets to write the last line before the process exits."""
 
 
-def ask_in_time(actor: pykka.ActorRef, message: object, limit_s: float) -> Any | None:
-    """An actor's answer, or None, with a line in the log, when it takes longer than ``limit_s``.
+def ask_with_timeout(actor: pykka.ActorRef, message: object, timeout_s: float) -> Any | None:
+    """Ask an actor and return its answer, or None if it takes longer than ``timeout_s`` seconds.
 
-    After a freeze, or on a slow machine with a long mailbox, answers come late. The error of a late
-    answer, raised in an actor, would end that actor for good.
+    A timeout is logged instead of raised: answers are late after a process was frozen, or when the
+    mailbox is long on a slow machine, and an uncaught :exc:`pykka.Timeout` would stop the actor
+    that asks.
     """
     try:
-        return actor.ask(message, timeout=limit_s)
+        return actor.ask(message, timeout=timeout_s)
     except pykka.Timeout:
-        log_event("answer_late", level="WARNING", to=type(message).__name__, limit_s=limit_s)
+        log_event("answer_late", level="WARNING", to=type(message).__name__, limit_s=timeout_s)
         return None
 
 
-def stop_actors(within_s: float) -> None:
-    """Stop all actors, the last started first.
+def stop_actors(timeout_s: float) -> None:
+    """Stop all actors in reverse order of their start.
 
-    One that is busy, with a peer that does not answer for example, is told and left behind; waiting
-    for it would leave the others running until the process is killed.
+    A busy actor, for example one that waits for an unresponsive peer, is sent the stop message and
+    not waited for any longer; otherwise the remaining actors would run until the process is killed.
 
     Parameters
     ----------
-    within_s : float
-        Seconds that this may take in all.
+    timeout_s : float
+        Upper bound on the total time, in seconds.
     """
-    until = time.monotonic() + within_s
+    deadline = time.monotonic() + timeout_s
     for actor in reversed(pykka.ActorRegistry.get_all()):
-        # Half of what is left, so that there is always some for the next one.
-        limit_s = max(0.0, until - time.monotonic()) / 2
+        # Half of the remaining time, so that some is left for each of the following actors.
+        limit_s = max(0.0, deadline - time.monotonic()) / 2
         try:
             actor.stop(timeout=limit_s)
         except pykka.Timeout:
@@ -52,17 +53,17 @@
 
 
 class BackgroundActor(pykka.ThreadingActor):
-    """An actor whose thread ends with the process."""
+    """An actor that runs on a daemon thread, which does not keep the process alive."""
 
     use_daemon_thread = True
 
 
 class VitalActor(BackgroundActor):
-    """An actor whose failure ends its process.
+    """An actor whose failure terminates its process.
 
-    An actor that raises an error only stops itself. Without its owner of pools or of the peer link
-    a router would go on saying that it is ready and answer every caller with a refusal, or go on
-    alone, until someone notices; ended, it is back in a second.
+    By default only the actor that raised stops. A router without the actor that owns its pools
+    would still report that it is ready but refuse every request, and one without its peer link
+    would run isolated, until somebody notices. A terminated router is restarted within a second.
     """
 
     def on_failure(
@@ -71,9 +72,10 @@
         exception_value: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """Say what failed and end the process."""
+        """Log the failure and terminate the process."""
         if isinstance(exception_value, pykka.ActorDeadError):
-            # The other actor was stopped in a planned stop, or ends the process itself.
+            # The actor that was asked has been stopped on purpose, or its own failure is about to
+            # terminate the process.
             log_event("actor_gone", level="WARNING", asked_by=type(self).__name__)
             return
         log_event(
@@ -82,5 +84,5 @@
             actor=type(self).__name__,
             reason=repr(exception_value)[:200],
         )
-        time.sleep(_LOGGED_S)
+        time.sleep(_LOG_FLUSH_S)
         os._exit(ACTOR_FAILED_EXIT)
--- a/turmerictray/core/app.py
+++ b/turmerictray/core/app.py
@@ -1,7 +1,7 @@
-"""The application object that owns start-up and clean-up.
+"""The application object, which starts and stops the components of a process.
 
-Parts register with :meth:`Application.add`; they start in order and stop in reverse order,
-also when start-up fails half way, so nothing a process opened is left behind.
+Components are registered with :meth:`Application.add`. They start in order and stop in reverse
+order, also when a start fails halfway, so that every resource is released.
 """
 
 import signal
@@ -12,20 +12,21 @@
 
 from turmerictray.core.logs import log_event
 
-SWITCH_S = 0.0005
-"""How long a thread may run while others wait, a tenth of the interpreter's own. A thread that
-accepts, receives or keeps time gives its turn away with each system call, and then waits for one of
-this length for each busy thread. Messages heard late make their senders seem silent."""
+THREAD_SWITCH_INTERVAL_S = 0.0005
+"""Thread switch interval of the interpreter, a tenth of its default. A thread that accepts
+connections, receives messages or runs timers releases the interpreter lock at each system call, and
+then waits up to one interval for every busy thread. Messages that are received late make their
+senders look unresponsive."""
 
 
 class Component(Protocol):
-    """A part of a process with a life cycle."""
+    """A component of a process that is started and stopped with it."""
 
     def start(self) -> None:
-        """Open what the part owns."""
+        """Acquire the component's resources."""
 
     def stop(self) -> None:
-        """Release what the part owns; called once, in reverse order of start."""
+        """Release the component's resources; called once, in reverse order of start."""
 
 
 class Application:
@@ -34,7 +35,7 @@
     Parameters
     ----------
     name : str
-        Used in log events.
+        Name of the application in log events.
     """
 
     def __init__(self, name: str) -> None:
@@ -43,29 +44,29 @@
         self._started: list[Component] = []
         self._stop_requested = threading.Event()
         self._is_up = False
-        self._told_early = False
+        self._signalled_before_up = False
         self._on_signal: list[Callable[[], None]] = []
         self._on_reload: list[Callable[[], None]] = []
 
     def add(self, component: Component) -> Component:
-        """Register a component; returns it for convenience."""
+        """Register a component and return it."""
         self._components.append(component)
         return component
 
     def on_signal(self, hook: Callable[[], None]) -> None:
-        """Run ``hook`` when SIGTERM or SIGINT arrives (for example, to begin a drain)."""
+        """Call ``hook`` on its own thread when SIGTERM or SIGINT arrives, for example to drain."""
         self._on_signal.append(hook)
 
     def on_reload(self, hook: Callable[[], None]) -> None:
-        """Run ``hook`` when SIGHUP arrives."""
+        """Call ``hook`` on its own thread when SIGHUP arrives."""
         self._on_reload.append(hook)
 
     def request_stop(self) -> None:
-        """Ask :meth:`run` to return and stop all components."""
+        """Make :meth:`run` stop all components and return."""
         self._stop_requested.set()
 
     def start(self) -> None:
-        """Start every component in order; on failure, stop those already started."""
+        """Start all components in order; on failure, stop those already started."""
         try:
             for comp in self._components:
                 comp.start()
@@ -86,15 +87,16 @@
         log_event("app_stopped", app=self.name)
 
     def run(self) -> int:
-        """Start, wait for a stop request or a signal, stop; returns the exit code 0."""
-        sys.setswitchinterval(SWITCH_S)
+        """Start, wait for a stop request or a signal, stop, and return the exit code 0."""
+        sys.setswitchinterval(THREAD_SWITCH_INTERVAL_S)
         signal.signal(signal.SIGTERM, self._handle_signal)
         signal.signal(signal.SIGINT, self._handle_signal)
-        # Unhandled, SIGHUP ends the process; it only says that settings have changed.
+        # The default action of SIGHUP would terminate the process; here it only announces that the
+        # settings have changed.
         signal.signal(signal.SIGHUP, self._handle_reload)
         self.start()
         self._is_up = True
-        if self._told_early:
+        if self._signalled_before_up:
             self._run_signal_hooks()
         try:
             while not self._stop_requested.wait(0.2):
@@ -111,9 +113,9 @@
     def _handle_signal(self, signum: int, _frame: object) -> None:
         log_event("signal", app=self.name, signum=signum)
         if not self._is_up:
-            # The hooks need all components. Run now, they would fail on the ones that have not been
-            # started, and the process would ignore every later signal until it is killed.
-            self._told_early = True
+            # The hooks need all components. Run now, they would fail on components that have not
+            # started, and the process would then ignore all later signals until it is killed.
+            self._signalled_before_up = True
             return
         self._run_signal_hooks()
 
