--- a/turmerictray/platform/standins/store.py
+++ b/turmerictray/platform/standins/store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's metadata store: items, pages, watches and its troubles."""
+"""A stand-in for the platform's metadata store: items, pages, watches and faults."""
 
 import base64
 import threading
@@ -12,11 +12,15 @@
 from turmerictray.platform.standins.http import BackgroundServer, QuietHandler
 
 _PAGE_ITEMS = 50
-_SILENT_S = 30.0
+_SILENT_CALL_S = 30.0
 
 
 class StoreTrouble(Enum):
-    """What the store does with the calls that come."""
+    """How the store treats calls.
+
+    ``BUSY`` answers 503, ``TOO_MANY`` 429; ``SILENT`` does not answer, ``RESET`` closes the
+    connection.
+    """
 
     NONE = "none"
     BUSY = "busy"
@@ -27,28 +31,40 @@
 
 @dataclass(frozen=True)
 class _Change:
+    """A write; a value of None removes the item."""
+
     key: str
     revision: int
     value: bytes | None
 
 
 class Store:
-    """The store's state; safe to use from many threads."""
+    """State of the store; safe to use from many threads.
+
+    Attributes
+    ----------
+    call_count : int
+        Calls that were received, of all kinds.
+    era : int
+        Increases with each restored backup, after which revisions may repeat.
+    revision : int
+        Revision of the newest change.
+    """
 
     def __init__(self) -> None:
         self._trouble = StoreTrouble.NONE
-        self.calls = 0
+        self.call_count = 0
         self.era = 1
         self.revision = 1
         self._log: list[tuple[float, _Change]] = []
         self._items: dict[str, _Change] = {}
         self._history: list[_Change] = []
-        self._oldest = 0
+        self._compacted_revision = 0
         self._changed = threading.Condition()
 
     @property
     def trouble(self) -> StoreTrouble:
-        """What the store does with the calls that come; a change cuts the watches that wait."""
+        """How the store treats calls; setting it ends the watches that are waiting."""
         return self._trouble
 
     @trouble.setter
@@ -58,30 +74,30 @@
             self._changed.notify_all()
 
     def put(self, key: str, doc: object) -> int:
-        """Write an item as JSON; returns its revision."""
+        """Write an item as JSON; return its revision."""
         return self._write(key, msgspec.json.encode(doc))
 
     def put_bytes(self, key: str, value: bytes) -> int:
-        """Write an item as it is; returns its revision."""
+        """Write an item unchanged; return its revision."""
         return self._write(key, value)
 
     def delete(self, key: str) -> int:
-        """Remove an item; returns the revision of the removal."""
+        """Remove an item; return the revision of the removal."""
         return self._write(key, None)
 
     def compact(self) -> None:
-        """Forget the history so far."""
+        """Discard the history so far; watches that start before it get no changes."""
         with self._changed:
             self._history.clear()
-            self._oldest = self.revision
+            self._compacted_revision = self.revision
 
-    def restore(self, age_s: float) -> None:
-        """Come back from a copy that is ``age_s`` seconds old; what was written since is lost."""
-        copied_at = time.monotonic() - age_s
-        self.lose_last(sum(at > copied_at for at, _ in self._log))
+    def restore_backup(self, age_s: float) -> None:
+        """Restore a backup that is ``age_s`` seconds old; later changes are lost."""
+        backup_at = time.monotonic() - age_s
+        self.restore_without_last(sum(at > backup_at for at, _ in self._log))
 
-    def lose_last(self, count: int) -> None:
-        """Come back from a copy without the last ``count`` changes, in a new era."""
+    def restore_without_last(self, count: int) -> None:
+        """Restore a backup that lacks the last ``count`` changes, and start a new era."""
         with self._changed:
             self._log = self._log[: len(self._log) - count]
             self._items.clear()
@@ -89,7 +105,7 @@
                 self._apply(change)
             self.revision = self._log[-1][1].revision if self._log else 1
             self._history.clear()
-            self._oldest = self.revision
+            self._compacted_revision = self.revision
             self.era += 1
             self._changed.notify_all()
 
@@ -109,38 +125,38 @@
             return self.revision
 
     def keys(self, prefix: str) -> list[str]:
-        """Names of the items under a prefix, without it."""
+        """Return the keys that start with a prefix, without the prefix."""
         with self._changed:
             return [key.removeprefix(prefix) for key in self._items if key.startswith(prefix)]
 
     def page(self, prefix: str, after: str) -> dict:
-        """One page of items."""
+        """Return the first page of items whose keys start with ``prefix`` and follow ``after``."""
         with self._changed:
             keys = sorted(key for key in self._items if key.startswith(prefix) and key > after)
-            items = [_wire(self._items[key]) for key in keys[:_PAGE_ITEMS]]
-            more = len(keys) > _PAGE_ITEMS
-            return {"items": items, "has_more": more, "store_revision": self.revision}
+            items = [_encode(self._items[key]) for key in keys[:_PAGE_ITEMS]]
+            has_more = len(keys) > _PAGE_ITEMS
+            return {"items": items, "has_more": has_more, "store_revision": self.revision}
 
     def changes(self, prefix: str, after: int, wait_s: float) -> dict | None:
-        """Changes after a revision, or None when they are forgotten."""
-        until = time.monotonic() + wait_s
+        """Return changes after a revision, waiting for one; None if they were discarded."""
+        deadline = time.monotonic() + wait_s
         with self._changed:
             while True:
-                if after < self._oldest or after > self.revision:
+                if after < self._compacted_revision or after > self.revision:
                     return None
                 found = [
                     change
                     for change in self._history
                     if change.revision > after and change.key.startswith(prefix)
                 ]
-                left = until - time.monotonic()
-                if found or left <= 0 or self._trouble is not StoreTrouble.NONE:
-                    events = [_wire(change) for change in found]
+                remaining_s = deadline - time.monotonic()
+                if found or remaining_s <= 0 or self._trouble is not StoreTrouble.NONE:
+                    events = [_encode(change) for change in found]
                     return {"events": events, "store_revision": self.revision}
-                self._changed.wait(left)
+                self._changed.wait(remaining_s)
 
 
-def _wire(change: _Change) -> dict:
+def _encode(change: _Change) -> dict:
     if change.value is None:
         return {"key": change.key, "revision": change.revision, "tombstone": True}
     value = base64.b64encode(change.value).decode()
@@ -150,10 +166,10 @@
 class _Handler(QuietHandler):
     disable_nagle_algorithm = True
 
-    def do_GET(self) -> None:  # noqa: N802 - the standard library's name
+    def do_GET(self) -> None:  # noqa: N802 - name required by http.server
         store: Store = self.server.owner.store
-        store.calls += 1
-        if self._in_trouble(store.trouble):
+        store.call_count += 1
+        if self._apply_trouble(store.trouble):
             return
         url = urlsplit(self.path)
         query = {key: vals[0] for key, vals in parse_qs(url.query).items()}
@@ -163,12 +179,13 @@
         elif url.path == "/api/kv-watch":
             wait_s = int(query["wait_ms"]) / 1000
             found = store.changes(prefix, int(query["after_revision"]), wait_s)
-            if not self._in_trouble(store.trouble):
+            if not self._apply_trouble(store.trouble):
                 self._answer(410 if found is None else 200, found or {})
         else:
             self._answer(404, {})
 
-    def _in_trouble(self, trouble: StoreTrouble) -> bool:
+    def _apply_trouble(self, trouble: StoreTrouble) -> bool:
+        """Treat the call as ``trouble`` says; return False if it is to be answered normally."""
         if trouble is StoreTrouble.NONE:
             return False
         if trouble is StoreTrouble.BUSY:
@@ -177,7 +194,7 @@
             self._answer(429, {})
         else:
             if trouble is StoreTrouble.SILENT:
-                self.server.owner.closing.wait(_SILENT_S)
+                self.server.owner.closing.wait(_SILENT_CALL_S)
             self.close_connection = True
         return True
 
@@ -198,7 +215,7 @@
     ----------
     host : str
     port : int
-        0 picks a free one.
+        0 selects a free port.
     """
 
     def __init__(self, host: str = "127.0.0.1", port: int = 0) -> None:
--- a/turmerictray/platform/standins/worker.py
+++ b/turmerictray/platform/standins/worker.py
@@ -1,4 +1,4 @@
-"""A stand-in of a worker: a model engine or a plain service, with the faults that workers have."""
+"""A stand-in for a worker, either a model engine or a plain service, with injectable faults."""
 
 import json
 import socket
@@ -11,15 +11,22 @@
 
 from turmerictray.platform.standins.http import BackgroundServer, QuietHandler
 
-DEADLY = b"deadly"
-"""A request whose body holds this ends each worker that begins to run it."""
+CRASH_MARKER = b"deadly"
+"""A request whose body contains this crashes each worker that starts to run it."""
 
 _HANG_S = 30.0
-_CLOSE_LOOK_S = 0.02
+_CLOSE_POLL_S = 0.02
 
 
 class WorkerFault(Enum):
-    """What goes wrong with one request."""
+    """A fault of one request.
+
+    ``SHED`` refuses the request with 503 before it runs, ``BUSY_BUT_RAN`` answers 503 after it ran.
+    ``OTHER_ID`` answers with the id of another request, ``UNSIGNED`` without the worker's seal,
+    ``EXTRA_ANSWER`` sends a second answer, and ``NO_LENGTH`` ends the body by closing the
+    connection. ``RESET_UNSENT`` resets the connection before the request runs,
+    ``RESET_AFTER_RUN`` after it started to run.
+    """
 
     NONE = "none"
     SHED = "shed"
@@ -38,69 +45,98 @@
 
 
 @dataclass
-class Seen:
-    """A request that reached the worker."""
+class ReceivedRequest:
+    """A request that reached the worker.
+
+    Attributes
+    ----------
+    ran : bool
+        Whether the worker started to run it.
+    client_disconnected : bool
+        Whether the router closed the connection before the end of the answer.
+    received_at : float
+        Monotonic time.
+    """
 
     method: str
     target: str
     headers: dict[str, str]
     body: bytes
     ran: bool = False
-    left_early: bool = False
-    at: float = field(default_factory=time.monotonic)
+    client_disconnected: bool = False
+    received_at: float = field(default_factory=time.monotonic)
 
 
 @dataclass
-class WorkerPlan:
+class WorkerBehaviour:
     """How a worker behaves; may be changed while it runs.
 
     Attributes
     ----------
-    work_s : float
-        Time that a plain request takes.
-    events : int
-        Events of a stream.
-    pause_s : float
-        Time between two of them.
-    read_per_s : float
-        Prompt tokens read in a second, one prompt after the other in order of arrival.
-    memory_tokens : int
-        Kept parts; the least recently used one yields.
+    service_time_s : float
+        Time to run a plain request.
+    event_count : int
+        Number of events in a stream.
+    event_interval_s : float
+        Time between two events.
+    read_tokens_per_s : float
+        Prompt tokens prefilled per second; prompts are prefilled one at a time in order of
+        arrival.
+    cache_capacity_tokens : int
+        Size of the cache of prompt parts; the least recently used part is evicted.
+    slots : int
+        Concurrent requests that the worker's entry announces.
+    keep_alive_s : int or None
+        Idle timeout that answers announce in a ``Keep-Alive`` header; None sends no header.
+    faults : deque of WorkerFault
+        Faults of the next requests, one each.
     """
 
-    work_s: float = 0.0
-    events: int = 5
-    pause_s: float = 0.01
-    read_per_s: float = 1e6
-    memory_tokens: int = 1_000_000
+    service_time_s: float = 0.0
+    event_count: int = 5
+    event_interval_s: float = 0.01
+    read_tokens_per_s: float = 1e6
+    cache_capacity_tokens: int = 1_000_000
     slots: int = 8
     keep_alive_s: int | None = None
     faults: deque[WorkerFault] = field(default_factory=deque)
 
 
 class Worker:
-    """One worker on loopback.
+    """A worker on loopback.
 
     Parameters
     ----------
     worker_id : str
-        The incarnation's id.
+        Id of this incarnation.
     service : str
+
+    Attributes
+    ----------
+    born : int
+        Start time in milliseconds since the epoch.
+    received_requests : list of ReceivedRequest
+    connections : int
+        Connections accepted so far.
+    read_tokens : int
+        Prompt tokens prefilled so far.
+    listing_count : int
+        Times that a router has listed the cache.
     """
 
     def __init__(self, worker_id: str, service: str, host: str = "127.0.0.1", port: int = 0):
         self.id = worker_id
         self.service = service
         self.born = time.time_ns() // 1_000_000
-        self.plan = WorkerPlan()
-        self.seen: list[Seen] = []
+        self.behaviour = WorkerBehaviour()
+        self.received_requests: list[ReceivedRequest] = []
         self.connections = 0
         self.read_tokens = 0
-        self.listed = 0
+        self.listing_count = 0
         self.closing = threading.Event()
         self.crashed = threading.Event()
-        self._kept: OrderedDict[str, int] = OrderedDict()
-        self._engine = threading.Lock()
+        self._cached_parts: OrderedDict[str, int] = OrderedDict()
+        self._prefill_lock = threading.Lock()
         self._server = BackgroundServer(_Handler, self, host, port)
 
     @property
@@ -109,13 +145,13 @@
         return self._server.address
 
     def entry(self, zone: str, state: str = "ready") -> dict:
-        """The worker's entry in the store."""
+        """Return the worker's entry for the store."""
         return {
             "service": self.service,
             "address": self.address,
             "zone": zone,
             "version": "v1",
-            "slots": self.plan.slots,
+            "slots": self.behaviour.slots,
             "state": state,
             "sequence": 1,
             "cold_left_ms": 0,
@@ -133,39 +169,40 @@
         self._server.stop()
 
     def crash(self) -> None:
-        """End at once: all connections are reset and new ones are refused."""
+        """Stop abruptly: all connections are broken and new ones refused."""
         if not self.crashed.is_set():
             self.crashed.set()
             self._server.abort()
 
-    def runs(self) -> list[Seen]:
-        """Requests that ran."""
-        return [seen for seen in self.seen if seen.ran]
+    def runs(self) -> list[ReceivedRequest]:
+        """Return the requests that ran."""
+        return [request for request in self.received_requests if request.ran]
 
     def read_prompt(self, header: str) -> None:
-        """Read what is not kept of a prompt; requests before this one are read first."""
-        with self._engine:
-            tokens = self._missing(header)
+        """Prefill the uncached part of a prompt, after all prompts that arrived before it."""
+        with self._prefill_lock:
+            tokens = self._cache_prompt(header)
             self.read_tokens += tokens
-            time.sleep(tokens / self.plan.read_per_s)
+            time.sleep(tokens / self.behaviour.read_tokens_per_s)
 
-    def listing(self) -> bytes:
-        """What the worker keeps, as an answer to a router that asks."""
-        with self._engine:
-            held = [["", part, tokens, "m"] for part, tokens in self._kept.items()]
-        self.listed += 1
-        return json.dumps({"epoch": 1, "next": 1, "held": held, "born": self.born}).encode()
+    def encode_listing(self) -> bytes:
+        """Encode the list of cached prompt parts, as the answer to a router's request for it."""
+        with self._prefill_lock:
+            cached = [["", part, tokens, "m"] for part, tokens in self._cached_parts.items()]
+        self.listing_count += 1
+        return json.dumps({"epoch": 1, "next": 1, "held": cached, "born": self.born}).encode()
 
-    def _missing(self, header: str) -> int:
+    def _cache_prompt(self, header: str) -> int:
+        """Add a prompt's parts to the cache; return the number of tokens to prefill."""
         tokens = 0
         for part in filter(None, header.split(",")):
             name, _, count = part.strip().partition(":")
-            if tokens or name not in self._kept:
+            if tokens or name not in self._cached_parts:
                 tokens += int(count)
-            self._kept[name] = int(count)
-            self._kept.move_to_end(name)
-        while sum(self._kept.values()) > self.plan.memory_tokens:
-            self._kept.popitem(last=False)
+            self._cached_parts[name] = int(count)
+            self._cached_parts.move_to_end(name)
+        while sum(self._cached_parts.values()) > self.behaviour.cache_capacity_tokens:
+            self._cached_parts.popitem(last=False)
         return tokens
 
 
@@ -180,7 +217,7 @@
         super().setup()
         self.worker.connections += 1
 
-    def do_GET(self) -> None:  # noqa: N802 - the standard library's name
+    def do_GET(self) -> None:  # noqa: N802 - name required by http.server
         self._handle()
 
     do_POST = do_PUT = do_DELETE = do_GET  # noqa: N815
@@ -189,98 +226,100 @@
         body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
         headers = {name.title(): val for name, val in self.headers.items()}
         if self.path == "/api/kv-list":
-            self._answer(200, self.worker.listing(), signed=False)
+            self._send_answer(200, self.worker.encode_listing(), signed=False)
             return
-        seen = Seen(self.command, self.path, headers, body)
-        self.worker.seen.append(seen)
+        request = ReceivedRequest(self.command, self.path, headers, body)
+        self.worker.received_requests.append(request)
         expected = headers.get("X-Expect-Instance")
         if expected is not None and expected != self.worker.id:
-            self._answer(421, b"", [("X-Instance-Id", self.worker.id)], signed=False)
+            self._send_answer(421, b"", [("X-Instance-Id", self.worker.id)], signed=False)
             return
-        faults = self.worker.plan.faults
-        self._run(seen, faults.popleft() if faults else WorkerFault.NONE)
+        faults = self.worker.behaviour.faults
+        self._run(request, faults.popleft() if faults else WorkerFault.NONE)
 
-    def _run(self, seen: Seen, fault: WorkerFault) -> None:
+    def _run(self, request: ReceivedRequest, fault: WorkerFault) -> None:
         if fault is WorkerFault.RESET_UNSENT:
             self._reset()
             return
         if fault is WorkerFault.SHED:
-            self._answer(503, b"full", [("X-Not-Executed", "1")], signed=False)
+            self._send_answer(503, b"full", [("X-Not-Executed", "1")], signed=False)
             return
-        seen.ran = True
-        if DEADLY in seen.body:
+        request.ran = True
+        if CRASH_MARKER in request.body:
             self.worker.crash()
         elif fault is WorkerFault.HANG:
-            seen.left_early = self._wait_for_close(_HANG_S)
+            request.client_disconnected = self._wait_for_close(_HANG_S)
             self.close_connection = True
         elif fault is WorkerFault.RESET_AFTER_RUN:
             self._reset()
-        elif "X-Token-Count" in seen.headers and fault is not WorkerFault.ERROR:
-            self.worker.read_prompt(seen.headers.get("X-Prompt-Prefix", ""))
-            self._stream(seen, fault)
+        elif "X-Token-Count" in request.headers and fault is not WorkerFault.ERROR:
+            self.worker.read_prompt(request.headers.get("X-Prompt-Prefix", ""))
+            self._stream(request, fault)
         else:
-            time.sleep(self.worker.plan.work_s)
-            self._plain(seen, fault)
+            time.sleep(self.worker.behaviour.service_time_s)
+            self._answer_plain(request, fault)
 
-    def _plain(self, seen: Seen, fault: WorkerFault) -> None:
-        body = f"{seen.method} {seen.target} {len(seen.body)}".encode()
+    def _answer_plain(self, request: ReceivedRequest, fault: WorkerFault) -> None:
+        body = f"{request.method} {request.target} {len(request.body)}".encode()
         if fault is WorkerFault.ERROR:
-            self._answer(500, b"failed")
+            self._send_answer(500, b"failed")
         elif fault is WorkerFault.BUSY_BUT_RAN:
-            self._answer(503, b"busy")
+            self._send_answer(503, b"busy")
         elif fault is WorkerFault.OTHER_ID:
-            self._answer(200, body, request_id="0" * 16)
+            self._send_answer(200, body, request_id="0" * 16)
         elif fault is WorkerFault.UNSIGNED:
-            self._answer(200, body, signed=False)
+            self._send_answer(200, body, signed=False)
         elif fault is WorkerFault.TRUNCATED:
-            self._head(200, [("Content-Length", str(len(body) + 100))])
+            self._send_head(200, [("Content-Length", str(len(body) + 100))])
             self.wfile.write(body)
             self.close_connection = True
         elif fault is WorkerFault.NO_LENGTH:
-            self._head(200, [("Connection", "close")])
+            self._send_head(200, [("Connection", "close")])
             self.wfile.write(body)
             self.close_connection = True
         else:
-            self._answer(200, body)
+            self._send_answer(200, body)
         if fault is WorkerFault.EXTRA_ANSWER:
-            self._answer(200, b"extra", request_id="f" * 16)
-
-    def _stream(self, seen: Seen, fault: WorkerFault) -> None:
-        self._head(200, [("Content-Type", "text/event-stream"), ("Transfer-Encoding", "chunked")])
-        first = int(seen.headers.get("Last-Event-Id", 0)) + 1
-        for number in range(first, self.worker.plan.events + 1):
+            self._send_answer(200, b"extra", request_id="f" * 16)
+
+    def _stream(self, request: ReceivedRequest, fault: WorkerFault) -> None:
+        self._send_head(
+            200, [("Content-Type", "text/event-stream"), ("Transfer-Encoding", "chunked")]
+        )
+        first = int(request.headers.get("Last-Event-Id", 0)) + 1
+        for number in range(first, self.worker.behaviour.event_count + 1):
             event = f"id: {number}\ndata: piece-{number}\n\n".encode()
             if fault is not WorkerFault.NONE and number == first + 2:
-                self._break_stream(seen, fault, event)
+                self._break_stream(request, fault, event)
                 return
-            if self._wait_for_close(self.worker.plan.pause_s):
-                seen.left_early = True
+            if self._wait_for_close(self.worker.behaviour.event_interval_s):
+                request.client_disconnected = True
                 self.close_connection = True
                 return
-            self._chunk(event)
-        self._chunk(b"")
+            self._send_chunk(event)
+        self._send_chunk(b"")
 
-    def _break_stream(self, seen: Seen, fault: WorkerFault, event: bytes) -> None:
-        self._chunk(event[: len(event) // 2])
+    def _break_stream(self, request: ReceivedRequest, fault: WorkerFault, event: bytes) -> None:
+        self._send_chunk(event[: len(event) // 2])
         if fault is WorkerFault.SILENT_STREAM:
-            seen.left_early = self._wait_for_close(_HANG_S)
+            request.client_disconnected = self._wait_for_close(_HANG_S)
         self._reset()
 
-    def _chunk(self, data: bytes) -> None:
+    def _send_chunk(self, data: bytes) -> None:
         self.wfile.write(f"{len(data):x}\r\n".encode() + data + b"\r\n")
 
     def _wait_for_close(self, seconds: float) -> bool:
-        """Wait; true as soon as the other side closes the connection."""
-        until = time.monotonic() + seconds
-        self.connection.settimeout(_CLOSE_LOOK_S)
+        """Wait; return True as soon as the client closes the connection."""
+        deadline = time.monotonic() + seconds
+        self.connection.settimeout(_CLOSE_POLL_S)
         try:
-            while time.monotonic() < until and not self.worker.closing.is_set():
+            while time.monotonic() < deadline and not self.worker.closing.is_set():
                 try:
                     if not self.connection.recv(1, socket.MSG_PEEK):
                         return True
                 except TimeoutError:
                     continue
-                time.sleep(_CLOSE_LOOK_S)
+                time.sleep(_CLOSE_POLL_S)
             return False
         except OSError:
             return True
@@ -288,24 +327,27 @@
             self.connection.settimeout(None)
 
     def _reset(self) -> None:
+        # A linger time of 0 makes close() send a TCP reset.
         linger = struct.pack("ii", 1, 0)
         self.connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
         self.connection.close()
         self.close_connection = True
 
-    def _answer(self, status: int, body: bytes, extra=(), signed=True, request_id=None) -> None:
+    def _send_answer(
+        self, status: int, body: bytes, extra=(), signed=True, request_id=None
+    ) -> None:
         headers = [("Content-Length", str(len(body))), *extra]
-        self._head(status, headers, signed, request_id)
+        self._send_head(status, headers, signed, request_id)
         self.wfile.write(body)
 
-    def _head(self, status: int, headers, signed: bool = True, request_id=None) -> None:
+    def _send_head(self, status: int, headers, signed: bool = True, request_id=None) -> None:
         self.send_response(status)
-        own = self.headers.get("X-Request-Id")
-        self.send_header("X-Request-Id", request_id or own or "-")
+        received_id = self.headers.get("X-Request-Id")
+        self.send_header("X-Request-Id", request_id or received_id or "-")
         if signed:
             self.send_header("X-Server-Seal", f"seal.{self.worker.id}")
-        if self.worker.plan.keep_alive_s is not None:
-            self.send_header("Keep-Alive", f"timeout={self.worker.plan.keep_alive_s}")
+        if self.worker.behaviour.keep_alive_s is not None:
+            self.send_header("Keep-Alive", f"timeout={self.worker.behaviour.keep_alive_s}")
         for name, value in headers:
             self.send_header(name, value)
         self.end_headers()
--- a/turmerictray/platform/store.py
+++ b/turmerictray/platform/store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's metadata store: reads of items and watches of changes."""
+"""Client of the platform's metadata store: reads items and watches for changes."""
 
 import base64
 import socket
@@ -13,31 +13,37 @@
 from turmerictray.core.logs import log_event
 from turmerictray.router.published import StorePosition
 
-_READ_S = 1.0
-"""Time limit of a read: the store answers in milliseconds, and one that is slow by a factor of
-fifty still answers in time."""
+_READ_TIMEOUT_S = 1.0
+"""Time limit of a read.
 
-_WATCH_SLACK_S = 1.0
+The store normally answers within milliseconds, so even a fiftyfold slowdown stays within the limit.
+"""
 
-_GONE = 410
+_WATCH_RESPONSE_MARGIN_S = 1.0
+"""Time limit of the response to a watch, beyond the time for which the store waits for changes."""
 
-_ERA = "Store-Era"
-"""Header of each answer; rises each time the store comes back from a copy."""
+_HTTP_GONE = 410
 
-_KEEPALIVE = [
+_ERA_HEADER = "Store-Era"
+"""Response header with the store's era, which rises each time it is restored from a backup."""
+
+_KEEPALIVE_OPTIONS = [
     *urllib3.connection.HTTPConnection.default_socket_options,
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2),
 ]
-"""A watch waits for seconds with nothing to say; on a connection that went silent it would wait as
-long and miss what changes. Probes find that within three seconds."""
+"""Socket options that detect a dead connection within three seconds.
+
+No data flows while a watch waits for changes, so without probes a watch on a dead connection would
+wait until its time limit and miss the changes made meanwhile.
+"""
 
 
 @dataclass(frozen=True)
 class Item:
-    """An item of the store, or its removal when ``value`` is None."""
+    """An item of the store, or its removal if ``value`` is None."""
 
     key: str
     value: bytes | None
@@ -46,7 +52,7 @@
 
 @dataclass(frozen=True)
 class Snapshot:
-    """Items under a prefix, and the position from which to watch for changes."""
+    """Items or changes under a prefix, and the position from which to watch for later changes."""
 
     items: list[Item]
     position: StorePosition
@@ -59,12 +65,12 @@
     tombstone: bool = False
 
     def decode(self, era: int) -> Item:
-        value = None if self.tombstone else _bytes_of(self.value)
+        value = None if self.tombstone else _decode_value(self.value)
         return Item(self.key, value, StorePosition(era, self.revision))
 
 
-def _bytes_of(value: str) -> bytes:
-    # One value that can't be read must not cost the page, and with it all that follows.
+def _decode_value(value: str) -> bytes:
+    # A single invalid value must not make the whole page and all later pages unreadable.
     try:
         return base64.b64decode(value, validate=True)
     except ValueError as exc:
@@ -83,93 +89,101 @@
     store_revision: int
 
 
-def _era_of(resp: urllib3.BaseHTTPResponse) -> int:
-    text = resp.headers.get(_ERA, "")
+def _parse_era(resp: urllib3.BaseHTTPResponse) -> int:
+    text = resp.headers.get(_ERA_HEADER, "")
     return int(text) if text.isdecimal() else 0
 
 
 class StoreClient:
-    """Reads from the store at ``address`` (``host:port``); safe to use from one thread."""
+    """Client for the store at ``address`` (``host:port``); for use by a single thread."""
 
     def __init__(self, address: str) -> None:
         host, _, port = address.rpartition(":")
         self._http = urllib3.HTTPConnectionPool(
-            host, int(port), maxsize=1, retries=False, socket_options=_KEEPALIVE
+            host, int(port), maxsize=1, retries=False, socket_options=_KEEPALIVE_OPTIONS
         )
 
     def read_all(self, prefix: str) -> Snapshot:
-        """All items under ``prefix``.
+        """Read all items under ``prefix``.
 
-        The pages are not a snapshot; changes after the first page's revision come by the watch,
-        which starts there.
+        The pages are read at different revisions. The returned position is that of the first page,
+        so a watch from there also reports the changes made while later pages were read.
 
         Raises
         ------
         HistoryGone
-            The store has come back from a copy between two pages.
+            The store was restored from a backup between two pages.
         StoreUnavailable
+            The store can't be reached, or its answer is an error or invalid.
         """
         items: list[Item] = []
         start: StorePosition | None = None
         query = {"path_prefix": prefix}
         while True:
-            page, era = self._get("/api/kv-range", query, _Range, _READ_S)
+            page, era = self._get("/api/kv-range", query, _Range, _READ_TIMEOUT_S)
             start = start or StorePosition(era, page.store_revision)
             self._check_era(era, start)
             items += [item.decode(era) for item in page.items]
             if not page.has_more or not page.items:
                 return Snapshot(items, start)
-            # Although its name says revision, in this call it holds the key after which the next
-            # page begins.
+            # Despite its name, this parameter takes the key after which the next page begins.
             query["after_revision"] = page.items[-1].key
 
     def watch(self, prefix: str, since: StorePosition, wait_s: float) -> Snapshot:
-        """Changes under ``prefix`` after ``since``; waits up to ``wait_s`` seconds for one.
+        """Read the changes under ``prefix`` after ``since``; wait up to ``wait_s`` for the first.
+
+        Parameters
+        ----------
+        prefix : str
+        since : StorePosition
+        wait_s : float
+            Seconds.
 
         Raises
         ------
         HistoryGone
-            The store no longer has the changes since then, or has come back from a copy; read all
-            items again.
+            The store has discarded changes since that position, or was restored from a backup; all
+            items have to be read again.
         StoreUnavailable
+            The store can't be reached, or its answer is an error or invalid.
         """
         query = {
             "path_prefix": prefix,
             "after_revision": since.revision,
             "wait_ms": int(wait_s * 1000),
         }
-        page, era = self._get("/api/kv-watch", query, _Events, wait_s + _WATCH_SLACK_S)
+        page, era = self._get("/api/kv-watch", query, _Events, wait_s + _WATCH_RESPONSE_MARGIN_S)
         self._check_era(era, since)
         position = StorePosition(era, page.store_revision)
         return Snapshot([item.decode(era) for item in page.events], position)
 
     @staticmethod
     def _check_era(era: int, since: StorePosition) -> None:
-        # Revisions are given out again in the new era. The store may have passed ``since`` by now,
-        # and would answer as if nothing had happened.
+        # A restored store assigns revisions again. Once it has passed the revision of ``since``, it
+        # answers a watch as usual, and only the era shows that changes may have been missed.
         if era != since.era:
-            raise HistoryGone(f"era {era} after {since.era}")
+            raise HistoryGone(f"store era changed from {since.era} to {era}")
 
     def close(self) -> None:
         """Close the connection."""
         self._http.close()
 
     def _get(self, path: str, query: dict, kind: type, timeout_s: float) -> tuple:
-        """The answer, decoded as ``kind``, and the store's era."""
+        """Return the response, decoded as ``kind``, and the store's era."""
         try:
             resp = self._http.request(
                 "GET",
                 f"{path}?{urlencode(query)}",
-                timeout=urllib3.Timeout(connect=_READ_S, read=timeout_s),
+                timeout=urllib3.Timeout(connect=_READ_TIMEOUT_S, read=timeout_s),
             )
         except (urllib3.exceptions.HTTPError, OSError) as exc:
             raise StoreUnavailable(f"{path}: {exc}") from exc
-        metrics.count_control("store", len(path), len(resp.data))
-        if resp.status == _GONE:
+        metrics.count_control_bytes("store", len(path), len(resp.data))
+        if resp.status == _HTTP_GONE:
             raise HistoryGone(path)
         if resp.status != 200:
             raise StoreUnavailable(f"{path}: status {resp.status}")
         try:
-            return msgspec.json.decode(resp.data, type=kind), _era_of(resp)
+            return msgspec.json.decode(resp.data, type=kind), _parse_era(resp)
         except msgspec.DecodeError as exc:
             raise StoreUnavailable(f"{path}: {exc}") from exc
--- a/turmerictray/router/__init__.py
+++ b/turmerictray/router/__init__.py
@@ -1,1 +1,1 @@
-"""The entry-instance daemon: HTTP front, dispatcher, upstream calls, watchers and peer link."""
+"""Router process: HTTP front, dispatcher, upstream requests, watchers and peer link."""
--- /dev/null
+++ b/turmerictray/router/active_config.py
@@ -0,0 +1,79 @@
+"""The active routing configuration and the retry limits of a deployment."""
+
+from dataclasses import dataclass
+
+from turmerictray.config.routes import RoutingConfig
+from turmerictray.core.ids import ServiceName, TargetId
+from turmerictray.scheduling.shards import ShardMap
+
+
+@dataclass(frozen=True)
+class RetryLimits:
+    """Retry budget of the whole fleet for each service.
+
+    Attributes
+    ----------
+    ratio : float
+        Retries allowed per request in a window.
+    floor : float
+        Further retries allowed in a window, for the whole fleet.
+    window_s : float
+        Length of the window in seconds.
+    """
+
+    ratio: float = 0.2
+    floor: float = 50.0
+    window_s: float = 10.0
+
+
+class ActiveConfig:
+    """The routing configuration and target state that a router serves by.
+
+    Only the broker changes it. A :class:`RoutingConfig` is immutable, so other threads see either
+    the old or the new one, never a mixture.
+
+    Attributes
+    ----------
+    current : RoutingConfig or None
+        The active routing configuration; None before the first one.
+    targets_listed : bool
+        Whether a list of the targets has been received.
+    caught_up : bool
+        False after a start until this router has configuration as new as its peers'; until then
+        no caller is served.
+    unavailable_targets : frozenset of TargetId
+        Targets that accept no more work: leaving, removed, or with an entry that can't be read.
+    announced_leaving : frozenset of TargetId
+        The unavailable targets that announced that they were leaving before they were removed.
+    shards : dict of ServiceName to ShardMap
+        The engines of each service, divided into shards.
+    """
+
+    def __init__(self) -> None:
+        self.current: RoutingConfig | None = None
+        self.targets_listed = False
+        self.caught_up = False
+        self.unavailable_targets: frozenset[TargetId] = frozenset()
+        self.announced_leaving: frozenset[TargetId] = frozenset()
+        self.shards: dict[ServiceName, ShardMap] = {}
+
+    @property
+    def version(self) -> int:
+        """Version of the active configuration; 0 for none."""
+        return self.current.version if self.current is not None else 0
+
+    def activate_if_newer(self, config: RoutingConfig) -> bool:
+        """Activate ``config`` if it is newer than the active one.
+
+        Without the check, a stale read or an outdated peer could restore routes and keys that were
+        withdrawn.
+
+        Returns
+        -------
+        bool
+            Whether ``config`` was activated.
+        """
+        if config.version <= self.version:
+            return False
+        self.current = config
+        return True
--- a/turmerictray/router/answers.py
+++ b/turmerictray/router/answers.py
@@ -1,4 +1,4 @@
-"""HTTP answers for the router's errors; one rule per kind of error."""
+"""HTTP error answers of the router, one function per kind of error."""
 
 from functools import singledispatch
 
@@ -16,7 +16,7 @@
 
 
 class ErrorAnswer(msgspec.Struct, frozen=True):
-    """An error answer: HTTP status, headers and JSON body."""
+    """HTTP status, headers and JSON body of an error answer."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -33,7 +33,7 @@
 
 @singledispatch
 def error_answer(exc: TurmerictrayError) -> ErrorAnswer:
-    """Turn an error into the caller's final answer.
+    """Convert an error into the caller's final answer.
 
     Parameters
     ----------
@@ -43,7 +43,8 @@
     -------
     ErrorAnswer
         ``not_run`` answers carry ``Retry-After``. ``outcome_unknown`` carries it only for an
-        idempotent call; a non-idempotent one may have run, and its caller must check first.
+        idempotent request; a non-idempotent one may have run, so its caller must check before a
+        retry.
     """
     return ErrorAnswer(500, [], _json("internal", str(exc)))
 
--- a/turmerictray/router/broker.py
+++ b/turmerictray/router/broker.py
@@ -7,7 +7,7 @@
 from turmerictray.admission.budget import RetryBudget
 from turmerictray.admission.pool import Dispatch, Outcome, PlacementContext, ServicePool
 from turmerictray.admission.quarantine import NO_RETRY_THRESHOLD, Quarantine
-from turmerictray.config.routes import RoutingText
+from turmerictray.config.routes import RoutingConfig
 from turmerictray.core import metrics
 from turmerictray.core.actor import VitalActor
 from turmerictray.core.errors import AdmissionError, CallerGone, QueueTimeout, RepeatsUsedUp
@@ -25,6 +25,7 @@
 from turmerictray.fairness.queue import PendingRequest
 from turmerictray.fairness.recent_usage import RecentUsage
 from turmerictray.membership.messages import PartRead, RouterSummary, TargetWork
+from turmerictray.router.active_config import ActiveConfig, RetryLimits
 from turmerictray.router.broker_messages import (
     Ask,
     BrokerQuery,
@@ -50,7 +51,6 @@
 from turmerictray.router.grant_throttle import GrantThrottle
 from turmerictray.router.pool_gauges import PoolGauges
 from turmerictray.router.service_pools import ServicePools
-from turmerictray.router.text_in_force import RepeatLimits, TextInForce
 from turmerictray.routing.load import PeerLoad, TargetInfo, TargetPhase
 from turmerictray.routing.prompt import PartId, PromptPart
 from turmerictray.scheduling.messages import ServiceGiven
@@ -68,9 +68,9 @@
     zone : ZoneId
     incarnation : int
         This process's start time in nanoseconds.
-    in_force : TextInForce
+    active_config : ActiveConfig
         Holds the active routing configuration, which other threads read.
-    retry_limits : RepeatLimits
+    retry_limits : RetryLimits
         The fleet-wide retry budget of each service.
     quarantine : Quarantine or None
         Records of requests that crashed targets; None starts with an empty one.
@@ -81,15 +81,15 @@
         node: NodeId,
         zone: ZoneId,
         incarnation: int,
-        in_force: TextInForce,
-        retry_limits: RepeatLimits,
+        active_config: ActiveConfig,
+        retry_limits: RetryLimits,
         quarantine: Quarantine | None = None,
     ) -> None:
         super().__init__()
         self.node = node
         self.zone = zone
         self.incarnation = incarnation
-        self.in_force = in_force
+        self.active_config = active_config
         self.retry_limits = retry_limits
         self.quarantine = quarantine or Quarantine()
         self.ledger = RecentUsage(node)
@@ -134,7 +134,7 @@
                 raise RepeatsUsedUp("repeats_used_up", _BUDGET_RETRY_AFTER_S)
             pool.enqueue(request, now, msg.retry)
         except AdmissionError as exc:
-            msg.reply.refuse(exc)
+            msg.reply.try_set_exception(exc)
             return
         self._grants.request_round(pool, now)
 
@@ -155,7 +155,7 @@
         for pool in self.pools.for_service(msg.service):
             request = pool.withdraw(msg.call_id)
             if request is not None:
-                request.reply.refuse(CallerGone("caller gone while waiting"))
+                request.reply.try_set_exception(CallerGone("caller gone while waiting"))
                 return
 
     @handle.register
@@ -195,7 +195,7 @@
             fetch_from=placement.source.address if placement.source else "",
             backlog_s=pool.backlog_s(),
         )
-        if not request.reply.give(granted):
+        if not request.reply.try_set_result(granted):
             # The caller's thread stopped waiting concurrently. A booking that is never settled
             # would make the target look busy indefinitely.
             pool.cancel_dispatch(sent)
@@ -209,7 +209,9 @@
         for pool in self.pools.all():
             for request in pool.expire(msg.now):
                 timeout_reason = _timeout_reason(request, pool, msg.now)
-                request.reply.refuse(QueueTimeout(timeout_reason, pool.expected_wait_s(request)))
+                request.reply.try_set_exception(
+                    QueueTimeout(timeout_reason, pool.expected_wait_s(request))
+                )
             if len(pool.queue):
                 self._grants.request_round(pool, msg.now)
         if not msg.is_late():
@@ -250,7 +252,7 @@
 
     @handle.register
     def _(self, msg: TextArrived) -> None:
-        if not self.in_force.offer(msg.config):
+        if not self.active_config.activate_if_newer(msg.config):
             return
         config = msg.config
         self._apply_config(config)
@@ -262,16 +264,16 @@
             teams=len(config.teams),
         )
 
-    def _apply_config(self, config: RoutingText) -> None:
+    def _apply_config(self, config: RoutingConfig) -> None:
         self.ledger.weights = {team.name: team.weight for team in config.teams}
         for spec in config.services.values():
             self.pools.unsharded(spec.name).targets.set_spec(spec, config.tokens_per_s)
-        self.in_force.shards = self.pools.update_shards()
+        self.active_config.shards = self.pools.update_shards()
         metrics.CONFIG_VERSION.set(config.version)
 
     @handle.register
     def _(self, msg: CaughtUp) -> None:
-        self.in_force.caught_up = True
+        self.active_config.caught_up = True
 
     @handle.register
     def _(self, msg: TargetsListed) -> None:
@@ -281,8 +283,8 @@
                 self._remove_target(pool, target)
         for info in msg.targets:
             self._update_target(info)
-        self.in_force.targets_listed = True
-        self.in_force.shards = self.pools.update_shards()
+        self.active_config.targets_listed = True
+        self.active_config.shards = self.pools.update_shards()
         self._schedule_all_grants()
 
     @handle.register
@@ -293,7 +295,7 @@
                     self._remove_target(pool, target)
         for info in msg.changed:
             self._update_target(info)
-        self.in_force.shards = self.pools.update_shards()
+        self.active_config.shards = self.pools.update_shards()
         self._schedule_all_grants()
 
     @handle.register
@@ -302,8 +304,8 @@
         self._mark_leaving(msg.target)
 
     def _mark_leaving(self, target: TargetId) -> None:
-        self.in_force.leaving = self.in_force.leaving | {target}
-        self.in_force.announced = self.in_force.announced | {target}
+        self.active_config.unavailable_targets = self.active_config.unavailable_targets | {target}
+        self.active_config.announced_leaving = self.active_config.announced_leaving | {target}
 
     def _update_target(self, info: TargetInfo) -> None:
         for old_pool in self.pools.all_unsharded():
@@ -320,8 +322,10 @@
 
     def _record_phase(self, info: TargetInfo) -> None:
         if info.phase is TargetPhase.READY:
-            self.in_force.leaving = self.in_force.leaving - {info.id}
-            self.in_force.announced = self.in_force.announced - {info.id}
+            self.active_config.unavailable_targets = self.active_config.unavailable_targets - {
+                info.id
+            }
+            self.active_config.announced_leaving = self.active_config.announced_leaving - {info.id}
         else:
             self._mark_leaving(info.id)
 
@@ -329,7 +333,9 @@
         # Not added to the announced targets: the entry of a crashed target may be removed before
         # the answers that the crash interrupted have failed, so removal is no announcement.
         pool.targets.remove(target)
-        self.in_force.leaving = self.in_force.leaving | {TargetId(target)}
+        self.active_config.unavailable_targets = self.active_config.unavailable_targets | {
+            TargetId(target)
+        }
         log_event("target", target=target, service=pool.name, phase=TargetPhase.GONE.value)
 
     def _schedule_all_grants(self) -> None:
@@ -388,7 +394,7 @@
         ]
 
     @handle.register
-    def _(self, msg: RepeatLimits) -> None:
+    def _(self, msg: RetryLimits) -> None:
         self.retry_limits = msg
         for pool in self.pools.all_unsharded():
             pool.budget.set_limits(msg.ratio, msg.floor, msg.window_s)
@@ -416,12 +422,12 @@
         return RouterSummary(
             node=self.node,
             incarnation=self.incarnation,
-            text_version=self.in_force.version,
+            text_version=self.active_config.version,
             target_work=self._local_work(),
             service=self.gossip_usage_changes.take(self.ledger.local_counters()),
             waiting=sorted({team for pool in self.pools.all() for team in pool.backlogged()}),
             reads=self._collect_reads(),
-            caught_up=self.in_force.caught_up,
+            caught_up=self.active_config.caught_up,
         )
 
     def _collect_reads(self) -> list[PartRead]:
@@ -444,7 +450,7 @@
         now = time.monotonic()
         return {
             "node": self.node,
-            "text_version": self.in_force.version,
+            "text_version": self.active_config.version,
             "routers": self.fleet_size,
             "services": {pool.name: pool.describe(now) for pool in self.pools.all_unsharded()},
         }
@@ -457,7 +463,7 @@
         budget = RetryBudget(limits.ratio, limits.floor, limits.window_s)
         pool = ServicePool(service, self.zone, self.ledger, budget, is_suspect=self._is_suspect)
         self._set_fleet_size(pool)
-        config = self.in_force.current
+        config = self.active_config.current
         if config is not None and service in config.services:
             pool.targets.set_spec(config.services[service], config.tokens_per_s)
         return pool
--- a/turmerictray/router/broker_messages.py
+++ b/turmerictray/router/broker_messages.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from turmerictray.admission.pool import Outcome
-from turmerictray.config.routes import RoutingText
+from turmerictray.config.routes import RoutingConfig
 from turmerictray.core.ids import (
     NodeId,
     RequestDigest,
@@ -155,7 +155,7 @@
         Where the configuration was read from, for the log.
     """
 
-    config: RoutingText
+    config: RoutingConfig
     source: str
 
 
--- a/turmerictray/router/cache_warmup.py
+++ b/turmerictray/router/cache_warmup.py
@@ -12,7 +12,7 @@
 import pykka
 import urllib3
 
-from turmerictray.core.actor import BackgroundActor, ask_in_time
+from turmerictray.core.actor import BackgroundActor, ask_with_timeout
 from turmerictray.core.errors import EngineError, PeerError
 from turmerictray.core.ids import NodeId, TargetId
 from turmerictray.core.logs import log_event
@@ -159,7 +159,7 @@
 
     def _try_warm_up(self, now: float) -> bool:
         """Ask a peer or the engines if it is time; return True when finished."""
-        engines = ask_in_time(self._broker, EnginesQuery(), _BROKER_QUERY_TIMEOUT_S)
+        engines = ask_with_timeout(self._broker, EnginesQuery(), _BROKER_QUERY_TIMEOUT_S)
         if not engines:
             return False
         established_peer = self._plan.established_peer()
--- a/turmerictray/router/catch_up.py
+++ b/turmerictray/router/catch_up.py
@@ -11,8 +11,8 @@
 from turmerictray.membership.messages import PeerMessage, RouterSummary
 from turmerictray.router.broker_messages import RoutersAlive
 from turmerictray.router.published import PeerDocs, Position, PublishedDocs, StorePosition
-from turmerictray.router.readers import StoreReaders
 from turmerictray.router.startup_check import StartupCheck, StartupResult
+from turmerictray.router.store_readers import StoreReaderSelection
 
 _LOCAL_READ_GRACE_S = 0.4
 """A router that reads the store waits this long for its own read before it asks a peer. In a
@@ -79,7 +79,7 @@
     ----------
     position : callable
         Returns how far this router has read.
-    readers : StoreReaders
+    readers : StoreReaderSelection
     apply_docs : callable
         Applies a peer's documents.
     startup_check : StartupCheck
@@ -90,7 +90,7 @@
     def __init__(
         self,
         position: Callable[[], Position],
-        readers: StoreReaders,
+        readers: StoreReaderSelection,
         apply_docs: ApplyDocs,
         startup_check: StartupCheck,
         on_caught_up: Callable[[], None],
@@ -113,12 +113,12 @@
         peer, local = position_of_summary(message.summary), self._position()
         now = time.monotonic()
         # A router that may not serve yet fetches at once instead of waiting for its own read.
-        waits_for_read = self._startup_check is None and self._readers.is_chosen()
+        waits_for_read = self._startup_check is None and self._readers.is_designated()
         if self._lag.should_ask(peer, local, waits_for_read, now):
             self._fetch(message)
             local = self._position()
         if not local.is_behind(peer) and not peer.is_behind(local):
-            self._readers.note_peer(message.summary.store_age_s)
+            self._readers.record_peer_age(message.summary.store_age_s)
         if self._startup_check is not None:
             self._startup_check.record_peer(message.sender.node, peer, message.summary.caught_up)
             self._check_startup()
--- a/turmerictray/router/crash_evidence.py
+++ b/turmerictray/router/crash_evidence.py
@@ -8,7 +8,7 @@
 from turmerictray.core.errors import ConnectionBroken, TurmerictrayError
 from turmerictray.core.ids import RequestDigest, TargetId
 from turmerictray.routing.load import CRASH_ATTRIBUTION_S, TargetInfo
-from turmerictray.transport.ended import EndedTargets
+from turmerictray.transport.exit_detection import TargetExitDetector
 
 
 def _no_targets() -> frozenset[TargetId]:
@@ -22,14 +22,14 @@
     Attributes
     ----------
     quarantine : Quarantine
-    ended_targets : EndedTargets
+    ended_targets : TargetExitDetector
     leaving : callable
         Returns the targets that have announced that they are leaving; their end is not counted
         against any request.
     """
 
     quarantine: Quarantine = field(default_factory=Quarantine)
-    ended_targets: EndedTargets = field(default_factory=EndedTargets)
+    ended_targets: TargetExitDetector = field(default_factory=TargetExitDetector)
     leaving: Callable[[], frozenset[TargetId]] = _no_targets
 
     def record_if_crash(
@@ -54,7 +54,7 @@
         """
         if not isinstance(exc, ConnectionBroken) or ran_s > CRASH_ATTRIBUTION_S:
             return False
-        if target.id in self.leaving() or not self.ended_targets.has_ended(
+        if target.id in self.leaving() or not self.ended_targets.has_exited(
             target.id, target.address
         ):
             return False
--- a/turmerictray/router/dialect.py
+++ b/turmerictray/router/dialect.py
@@ -1,7 +1,7 @@
-"""What a router needs to know of the headers that callers and targets use.
+"""Interface to the HTTP headers that the callers and targets of a deployment use.
 
-The names differ between deployments; a :class:`Dialect` reads and writes them, and the life of a
-request is the same under each.
+Header names differ between deployments. A :class:`Dialect` parses and writes them, so that the rest
+of the request path does not depend on the deployment.
 """
 
 from dataclasses import dataclass
@@ -16,55 +16,62 @@
 
 @dataclass(frozen=True)
 class Envelope:
-    """What the head of a caller's request says beside its route.
+    """Metadata from the head of a caller's request, without its route.
 
     Attributes
     ----------
     request_id : RequestId
-        Unique for each attempt of a caller.
+        Unique for each request that a caller sends, its retries included.
     key : str or None
-        The key that the caller presents.
-    caller_left_s : float or None
-        How long the caller will wait, in seconds from now.
+        The caller's API key.
+    caller_timeout_s : float or None
+        How long the caller will wait, in seconds from now; None if it sent no limit.
     prompt : Prompt or None
+        None for a request to a plain service.
     headers : list of Header
-        Passed on to the target as they are.
+        Forwarded to the target unchanged.
     """
 
     request_id: RequestId
     key: str | None
-    caller_left_s: float | None
+    caller_timeout_s: float | None
     prompt: Prompt | None
     headers: list[Header]
 
 
 @dataclass(frozen=True)
-class AnswerSigns:
-    """What the head of a target's answer says.
+class AnswerFlags:
+    """Properties of a target's answer that its head shows.
 
     Attributes
     ----------
     not_run : bool
-        The target did not run the request and won't.
-    own : bool
-        The answer belongs to the request that was sent.
-    genuine : bool
-        The answer bears what a genuine answer of a target bears.
+        Whether the target states that it has not run the request and will not run it.
+    matches_request : bool
+        Whether the answer belongs to the request that was sent.
+    is_genuine : bool
+        Whether the answer carries the signature that targets add to their answers.
     leaving : bool
-        The target takes no more requests on this connection, which it closes.
+        Whether the target accepts no more requests on this connection and will close it.
     """
 
     not_run: bool
-    own: bool
-    genuine: bool
+    matches_request: bool
+    is_genuine: bool
     leaving: bool
 
 
 class Dialect(Protocol):
-    """Reads and writes the headers of one deployment."""
+    """Parser and writer of the headers of one deployment."""
 
     def read(self, head: RequestHead) -> Envelope:
-        """Read a caller's head; raises :class:`~turmerictray.core.errors.CallerError`."""
+        """Parse the head of a caller's request.
+
+        Raises
+        ------
+        CallerError
+            The head is invalid.
+        """
 
     def target_headers(
         self,
@@ -75,23 +82,24 @@
         resume_after: str | None,
         fetch_from: str,
     ) -> list[Header]:
-        """The headers of the request to a target.
+        """Return the headers of the request to a target.
 
         Parameters
         ----------
         left_s : float
-            How long the target may work, in seconds.
+            Time until the target's answer must be complete, in seconds.
         resume_after : str or None
-            Id of the last event that the caller has, when a broken stream goes on.
+            Id of the last event that the caller has received, to resume a broken stream.
         fetch_from : str
-            ``host:port`` of the engine that keeps parts which the target doesn't; empty for none.
+            ``host:port`` of an engine that caches prompt parts which the target lacks; empty for
+            none.
         """
 
-    def signs(self, answer: AnswerHead, envelope: Envelope) -> AnswerSigns:
-        """Read the head of a target's answer."""
+    def read_answer(self, answer: AnswerHead, envelope: Envelope) -> AnswerFlags:
+        """Parse the head of a target's answer."""
 
     def answer_headers(self, answer: AnswerHead) -> list[Header]:
-        """The headers of a target's answer that go to the caller."""
+        """Return the headers of a target's answer that are forwarded to the caller."""
 
     def retry_after(self, seconds: float) -> Header:
-        """The header that tells a refused caller when to come back."""
+        """Return the header with the time in seconds that a refused caller waits before a retry."""
--- a/turmerictray/router/dispatcher.py
+++ b/turmerictray/router/dispatcher.py
@@ -126,13 +126,15 @@
         cfg = self.config.current
         if self.draining and not msg.retry:
             retry = cfg.limits.retry_after_s if cfg else 1.0
-            msg.reply.refuse(Draining("draining", retry))
+            msg.reply.try_set_exception(Draining("draining", retry))
             return
         if cfg is not None and not self._has_caught_up(msg):
-            msg.reply.refuse(Starting("starting", 1.0))
+            msg.reply.try_set_exception(Starting("starting", 1.0))
             return
         if cfg is None or not self.table.of_service(msg.placement.service):
-            msg.reply.refuse(NoTarget("no_target", cfg.limits.retry_after_s if cfg else 1))
+            msg.reply.try_set_exception(
+                NoTarget("no_target", cfg.limits.retry_after_s if cfg else 1)
+            )
             return
         pending = PendingRequest(
             msg.req_id,
@@ -148,7 +150,7 @@
             self._check_front_capacity(msg, cfg)
             queue.push(pending, front=msg.retry)
         except QueueFull as exc:
-            msg.reply.refuse(exc)
+            msg.reply.try_set_exception(exc)
             return
         self.hold.acquire(msg.team)
         if was_empty:
@@ -335,13 +337,13 @@
         """Refuse a request that exceeded the queue timeout."""
         self.hold.release(pending.team)
         retry_after_s = self.config.limits().retry_after_s
-        if pending.reply.refuse(QueueTimeout("queue_timeout", retry_after_s)):
+        if pending.reply.try_set_exception(QueueTimeout("queue_timeout", retry_after_s)):
             log_event("given_up", req=pending.req_id, team=pending.team, reason="queue_timeout")
 
     def _grant(self, pending: PendingRequest, view: TargetView) -> None:
         # A caller's thread that stopped waiting has cancelled its reply. A slot granted to it
         # would never be released, and the target would look busy permanently.
-        if not pending.reply.give(Grant(view.id, view.url, self.incarnation)):
+        if not pending.reply.try_set_result(Grant(view.id, view.url, self.incarnation)):
             self.hold.release(pending.team)
             return
         view.set_inflight(view.inflight + 1)
--- a/turmerictray/router/flow.py
+++ b/turmerictray/router/flow.py
@@ -1,4 +1,4 @@
-"""The life of a request, from its first byte to its final answer."""
+"""Handling of a request, from its first byte to its final answer."""
 
 import itertools
 import math
@@ -8,7 +8,7 @@
 import time
 
 from turmerictray.admission.time_bounds import retry_after_s, time_bounds
-from turmerictray.config.routes import RoutingText
+from turmerictray.config.routes import RoutingConfig
 from turmerictray.core.errors import (
     AdmissionError,
     CallerError,
@@ -19,33 +19,33 @@
     Starting,
     TurmerictrayError,
 )
+from turmerictray.router.active_config import ActiveConfig
 from turmerictray.router.answers import error_answer
-from turmerictray.router.routed import Routed, team_for
-from turmerictray.router.run import Parts, RequestRun
-from turmerictray.router.text_in_force import TextInForce
+from turmerictray.router.routed_request import RoutedRequest, authenticate_team
+from turmerictray.router.run import RequestDependencies, RequestRun
 from turmerictray.router.trace import RequestTrace
+from turmerictray.transport.disconnect import CancellableCall, DisconnectMonitor
 from turmerictray.transport.exchange import ClientExchange
-from turmerictray.transport.hangup import Call, HangUpWatch
 
-_CALL_BITS = 32
-_PROCESS_BITS = 30
-"""Calls are numbered from a random start, so that those of all routers differ at the scheduler: two
-of 390 processes share a start once in 14,000 fleets."""
+_CALL_ID_BITS = 32
+_PROCESS_ID_BITS = 30
+"""Call ids count up from a random start, so that ids of different routers differ at the scheduler.
+Two of 390 processes share a start in one of 14,000 fleets."""
 
-_NO_TEXT_RETRY_S = 0.5
+_NOT_READY_RETRY_S = 0.5
 _DRAINING_RETRY_S = 0.05
-"""Another router serves the caller at once."""
+"""Retry-After while this router drains; another router serves the caller at once."""
 _FULL_RETRY_S = 0.2
-"""Some of the streams in progress have ended by then."""
+"""Retry-After of a full router; some of the streams in progress will have ended by then."""
 
-_SHORT_PART = 0.1
-"""Part of the threads that no stream may take. Streams hold their threads for seconds; with all
-threads held, calls of plain services would wait to be read until their callers have left. Such a
-call, or a refusal, holds its thread for a moment only."""
+_RESERVED_THREAD_FRACTION = 0.1
+"""Fraction of the front's threads that prompts may not use. Streams occupy their threads for
+seconds. If they occupied all, requests to plain services would wait unread until their callers
+disconnect; such a request, or a refusal, needs its thread only briefly."""
 
 
-class _Held:
-    """Counts what is in hand."""
+class _ActiveCounter:
+    """Thread-safe count of the requests in progress, used as a context manager."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -61,45 +61,49 @@
 
 
 class RequestFlow:
-    """Serves requests on the front's threads.
+    """Handler that serves requests on the front's threads.
 
     Parameters
     ----------
-    parts : Parts
-    in_force : TextInForce
-    watch : HangUpWatch
+    deps : RequestDependencies
+    active_config : ActiveConfig
+    watch : DisconnectMonitor
     threads : int
-        The front's threads.
+        Number of the front's threads.
     """
 
     def __init__(
-        self, parts: Parts, in_force: TextInForce, watch: HangUpWatch, threads: int
+        self,
+        deps: RequestDependencies,
+        active_config: ActiveConfig,
+        watch: DisconnectMonitor,
+        threads: int,
     ) -> None:
-        self._parts = parts
-        self._in_force = in_force
+        self._deps = deps
+        self._active_config = active_config
         self._watch = watch
         self._closing = False
-        self._held = _Held()
-        self._most_streams = int(threads * (1 - _SHORT_PART))
-        self._ids = itertools.count(secrets.randbits(_PROCESS_BITS) << _CALL_BITS)
+        self._active = _ActiveCounter()
+        self._prompt_thread_limit = int(threads * (1 - _RESERVED_THREAD_FRACTION))
+        self._ids = itertools.count(secrets.randbits(_PROCESS_ID_BITS) << _CALL_ID_BITS)
         self._rng = random.Random()
 
     def refuse_new(self) -> None:
-        """Refuse the requests that come from now on.
+        """Refuse all requests that arrive from now on.
 
-        One that came in over a kept connection late in a shutdown would still run when the process
-        is killed, and its answer would be cut.
+        A request that arrives on a keep-alive connection late in a shutdown would still be running
+        when the process is killed, which would cut its answer off.
         """
         self._closing = True
 
     def handle(self, exchange: ClientExchange) -> None:
-        """Serve one request to its final answer."""
-        with self._held:
+        """Serve one request until its final answer is sent."""
+        with self._active:
             self._handle(exchange)
 
     def _handle(self, exchange: ClientExchange) -> None:
-        call = Call(exchange.sock)
-        trace = RequestTrace(exchange.head, exchange.arrived)
+        call = CancellableCall(exchange.sock)
+        trace = RequestTrace(exchange.head, exchange.arrived_at)
         try:
             body = exchange.read_body()
             self._watch.add(call)
@@ -114,66 +118,70 @@
             self._fail(exchange, exc, trace, call)
 
     def _serve(
-        self, exchange: ClientExchange, body: bytes, call: Call, trace: RequestTrace
+        self, exchange: ClientExchange, body: bytes, call: CancellableCall, trace: RequestTrace
     ) -> None:
-        # The look at all connections comes late on a router without processor time, where callers
-        # leave unread; what nobody waits for would be scheduled and sent on.
-        if call.look():
+        # On an overloaded router the scan of all connections runs late, and callers disconnect
+        # before their requests are read. Such a request must not be scheduled or sent to a target.
+        if call.check_disconnected():
             raise CallerGone("caller gone before its request was read")
         if self._closing:
             raise Draining("draining", _DRAINING_RETRY_S)
-        text = self._in_force.current
-        if text is None:
-            raise NoConfig("no_config", _NO_TEXT_RETRY_S)
-        if not self._in_force.caught_up:
-            raise Starting("starting", _NO_TEXT_RETRY_S)
-        trace.routed = self._route(exchange, body, text)
+        config = self._active_config.current
+        if config is None:
+            raise NoConfig("no_config", _NOT_READY_RETRY_S)
+        if not self._active_config.caught_up:
+            raise Starting("starting", _NOT_READY_RETRY_S)
+        trace.routed = self._route(exchange, body, config)
         if trace.routed.envelope.prompt is not None:
-            self._check_room(trace.routed)
-        RequestRun(self._parts, trace.routed, exchange, call, trace).run()
+            self._check_capacity(trace.routed)
+        RequestRun(self._deps, trace.routed, exchange, call, trace).run()
         trace.end("answered", exchange.status)
 
-    def _check_room(self, routed: Routed) -> None:
-        if self._held.count > self._most_streams:
+    def _check_capacity(self, routed: RoutedRequest) -> None:
+        if self._active.count > self._prompt_thread_limit:
             raise RouterFull("router_full", _FULL_RETRY_S)
-        backlog, objective_s = self._parts.backlog, routed.route.objective_s
+        backlog, objective_s = self._deps.backlog, routed.route.objective_s
         backlog.check_capacity(routed.backlog_key, objective_s, time.monotonic())
 
-    def _route(self, exchange: ClientExchange, body: bytes, text: RoutingText) -> Routed:
+    def _route(self, exchange: ClientExchange, body: bytes, config: RoutingConfig) -> RoutedRequest:
         head = exchange.head
-        envelope = self._parts.dialect.read(head)
-        route = text.match(head.host, head.path)
+        envelope = self._deps.dialect.read(head)
+        route = config.match(head.host, head.path)
         if route is None:
             raise CallerError("no route", 404)
-        return Routed(
+        return RoutedRequest(
             call_id=next(self._ids),
             head=head,
             body=body,
             envelope=envelope,
             route=route,
             service=route.service_for(self._rng.random()),
-            team=team_for(text, route, envelope.key),
-            bounds=time_bounds(route, exchange.arrived, envelope.caller_left_s),
-            text_version=text.version,
+            team=authenticate_team(config, route, envelope.key),
+            bounds=time_bounds(route, exchange.arrived_at, envelope.caller_timeout_s),
+            text_version=config.version,
         )
 
     def _fail(
-        self, exchange: ClientExchange, exc: TurmerictrayError, trace: RequestTrace, call: Call
+        self,
+        exchange: ClientExchange,
+        exc: TurmerictrayError,
+        trace: RequestTrace,
+        call: CancellableCall,
     ) -> None:
-        if call.gone:
+        if call.caller_gone:
             exchange.abort()
             trace.end("caller_gone", 0, str(exc))
             return
-        if exchange.started:
+        if exchange.answer_started:
             exchange.abort()
             trace.end("cut", exchange.status, f"{type(exc).__name__}: {exc}")
             return
         answer = error_answer(exc)
         headers = [("Content-Type", "application/json")]
         if isinstance(exc, AdmissionError):
-            left_s = trace.caller_left_s if exc.cut_short else math.inf
+            left_s = trace.caller_remaining_s if exc.caps_retry_after else math.inf
             wait = retry_after_s(exc.retry_after, left_s, self._rng)
-            headers.append(self._parts.dialect.retry_after(wait))
+            headers.append(self._deps.dialect.retry_after(wait))
         try:
             exchange.answer(answer.status, headers, answer.body)
         except CallerGone as gone:
--- a/turmerictray/router/gateway_settings.py
+++ b/turmerictray/router/gateway_settings.py
@@ -1,13 +1,13 @@
-"""Settings of a router that serves routes from a published text."""
+"""Settings of a router that serves routes from a published routing configuration."""
 
 from dataclasses import dataclass, field
 
 from turmerictray.core.ids import NodeId, ZoneId
-from turmerictray.router.text_in_force import RepeatLimits
+from turmerictray.router.active_config import RetryLimits
 
-THREADS = 600
-"""Threads of the front at most, each of which serves one request until its answer has ended.
-Streams last for seconds, so a router where a team's burst comes in has hundreds in progress."""
+MAX_FRONT_THREADS = 600
+"""Maximum number of front threads, each of which serves one request until its answer has ended.
+Streams last for seconds, so a router that receives a team's burst has hundreds in progress."""
 
 
 @dataclass(frozen=True)
@@ -28,26 +28,27 @@
     Attributes
     ----------
     front : Address
-        For callers.
+        Where callers connect.
     ready : Address
-        Where the balancer asks whether the router takes callers.
+        Where the load balancer checks whether the router accepts callers.
     ready_path : str
     admin : Address
-        For operators, and for peers that fetch published texts.
+        For operators, and for peers that fetch published documents.
     metrics : Address
         Where ``/metrics`` is served.
     peer : Address
-        The peer link.
+        Gossip address.
     calls : Address
-        Where other routers ask this one for engines while it is the scheduler.
+        Scheduling address, where peers request engines while this router is the scheduler.
     seeds : tuple of Address
-        Peer links of routers to start with.
+        Gossip addresses of the routers to contact first.
     grace_s : float
         Time from SIGTERM until the process is killed, in seconds.
+    retry_limits : RetryLimits
     threads : int
-        Requests in hand at once; see :data:`THREADS`.
+        Maximum number of requests served at once; see :data:`MAX_FRONT_THREADS`.
     cores : float
-        What the processor can do, in cores.
+        Processor capacity in cores.
     """
 
     node: NodeId
@@ -61,6 +62,6 @@
     calls: Address
     seeds: tuple[Address, ...] = ()
     grace_s: float = 8.0
-    repeats: RepeatLimits = field(default_factory=RepeatLimits)
-    threads: int = THREADS
+    retry_limits: RetryLimits = field(default_factory=RetryLimits)
+    threads: int = MAX_FRONT_THREADS
     cores: float = 1.0
--- a/turmerictray/router/peers.py
+++ b/turmerictray/router/peers.py
@@ -17,7 +17,7 @@
 import pynng
 
 from turmerictray.core import metrics
-from turmerictray.core.actor import BackgroundActor, ask_in_time
+from turmerictray.core.actor import BackgroundActor, ask_with_timeout
 from turmerictray.core.errors import PeerError
 from turmerictray.core.ids import NodeId
 from turmerictray.core.logs import log_event
@@ -161,7 +161,7 @@
 
     def _send_heartbeat(self) -> None:
         restarted = frozenset(NodeId(node) for node in self.echoes_left)
-        report = ask_in_time(self.dispatcher, ReportQuery(restarted), _REPORT_TIMEOUT_S)
+        report = ask_with_timeout(self.dispatcher, ReportQuery(restarted), _REPORT_TIMEOUT_S)
         if report is None:
             return
         local = report.counters
@@ -186,7 +186,7 @@
         )
         data = _ENCODER.encode(heartbeat)
         self.pub.send(data)
-        metrics.count_control("peer", len(data) * max(1, len(self.peers)), 0)
+        metrics.count_control_bytes("peer", len(data) * max(1, len(self.peers)), 0)
 
     def _receive(self) -> None:
         while not self._closing.is_set():
@@ -196,7 +196,7 @@
                 continue
             except pynng.Closed:
                 return
-            metrics.count_control("peer", 0, len(data))
+            metrics.count_control_bytes("peer", 0, len(data))
             try:
                 heartbeat = _DECODER.decode(data)
             except msgspec.DecodeError:
--- a/turmerictray/router/placement_client.py
+++ b/turmerictray/router/placement_client.py
@@ -21,6 +21,7 @@
 from turmerictray.core.ids import NodeId, ServiceName, TargetId, TargetName, ZoneId
 from turmerictray.core.logs import log_event
 from turmerictray.membership.messages import MemberEntry
+from turmerictray.router.active_config import ActiveConfig
 from turmerictray.router.broker_messages import (
     Ask,
     FirstEvent,
@@ -29,7 +30,6 @@
     TargetLeaving,
     Withdraw,
 )
-from turmerictray.router.text_in_force import TextInForce
 from turmerictray.routing.load import TargetInfo
 from turmerictray.scheduling.backlogs import Backlogs
 from turmerictray.scheduling.choice import SchedulerChoice
@@ -90,7 +90,7 @@
     node : NodeId
     zone : ZoneId
     broker : pykka.ActorRef
-    in_force : TextInForce
+    active_config : ActiveConfig
     choice : SchedulerChoice
     link : SchedulingLink
     """
@@ -100,14 +100,14 @@
         node: NodeId,
         zone: ZoneId,
         broker: pykka.ActorRef,
-        in_force: TextInForce,
+        active_config: ActiveConfig,
         choice: SchedulerChoice,
         link: SchedulingLink,
     ) -> None:
         self._node = node
         self._zone = zone
         self._broker = broker
-        self._in_force = in_force
+        self._active_config = active_config
         self._choice = choice
         self._link = link
         self._lock = threading.Lock()
@@ -125,7 +125,7 @@
             # refusal callers would get a 500 for requests that have not run and are safe to send to
             # another router.
             if isinstance(msg, Ask):
-                msg.reply.refuse(Draining("broker_gone", _DRAINING_RETRY_AFTER_S))
+                msg.reply.try_set_exception(Draining("broker_gone", _DRAINING_RETRY_AFTER_S))
 
     # -- from this router's requests -----------------------------------------------------------
 
@@ -162,7 +162,7 @@
         self._send_to_broker(replace(ask, shard=UNSHARDED))
 
     def _shards(self, service: ServiceName) -> ShardMap:
-        return self._in_force.shards.get(service, _SINGLE_SHARD)
+        return self._active_config.shards.get(service, _SINGLE_SHARD)
 
     @tell.register
     def _(self, msg: Withdraw) -> None:
@@ -171,7 +171,7 @@
             self._send_to_broker(msg)
             return
         self._link.send(call.scheduler.scheduling_address, PlaceWithdrawn(msg.call_id, msg.service))
-        call.ask.reply.refuse(CallerGone("caller gone while waiting"))
+        call.ask.reply.try_set_exception(CallerGone("caller gone while waiting"))
 
     @tell.register
     def _(self, msg: FirstEvent) -> None:
@@ -288,12 +288,12 @@
         if call is None:
             # The request was placed elsewhere or ended; the engine must not count as busy with it.
             self._return_grant(msg)
-        elif msg.target in self._in_force.leaving:
+        elif msg.target in self._active_config.unavailable_targets:
             # This router has read from the store that the target is leaving; the scheduler has not.
             self._return_grant(msg)
             self._drop_call(msg.call_id)
             self._place_locally(call.ask)
-        elif not call.ask.reply.give(_to_granted(msg)):
+        elif not call.ask.reply.try_set_result(_to_granted(msg)):
             self._return_grant(msg)
             self._drop_call(msg.call_id)
         return True
@@ -315,7 +315,7 @@
             # Another shard may have capacity while this one is full.
             self._request_placement(call.ask, call.fallback_shards)
         else:
-            call.ask.reply.refuse(_to_error(msg))
+            call.ask.reply.try_set_exception(_to_error(msg))
         return True
 
     def _return_grant(self, msg: PlaceGranted) -> None:
--- a/turmerictray/router/pool_gauges.py
+++ b/turmerictray/router/pool_gauges.py
@@ -50,7 +50,7 @@
 
 def _export(shard: ShardId, pool: ServicePool, state: PoolState) -> None:
     name = _shard_label(shard)
-    metrics.POOL_PACE.labels(pool.name, name).set(state.pace_per_s)
+    metrics.POOL_THROUGHPUT.labels(pool.name, name).set(state.pace_per_s)
     metrics.ENGINES_IDLE.labels(pool.name, name).set(state.idle)
 
 
--- a/turmerictray/router/progress.py
+++ b/turmerictray/router/progress.py
@@ -1,4 +1,4 @@
-"""What has become of a request so far, which decides what may still be done with it."""
+"""Progress of a request, which decides whether it may be retried and how it may fail."""
 
 import time
 from dataclasses import dataclass, field
@@ -14,107 +14,113 @@
 )
 from turmerictray.transport.events import Event
 
-_LEAST_LEFT_S = 0.03
-"""Below this a further try can't end in time; it would only take a target's time."""
+_MIN_ATTEMPT_S = 0.03
+"""Minimum time left for a further attempt, in seconds. With less it can't end in time and would
+only waste a target's capacity."""
 
-_RETRY_S = 0.5
+_TARGET_BUSY_RETRY_S = 0.5
 
 
 @dataclass
 class Progress:
-    """The tries of one request.
+    """Attempts of one request so far, and what the caller has received.
 
     Attributes
     ----------
-    arrived : int
-        Tries that reached a target, run or not.
+    delivered_attempts : int
+        Attempts that reached a target, whether or not it ran the request.
     may_have_run : bool
-        A target may have run it, or be running it.
-    tried : set of str
-        Targets that it is not sent to again.
-    last_event : str or None
-        Id of the last event that the caller has.
-    events : int
-        Events passed on to the caller.
-    answering : bool
-        The head of the answer has gone out.
-    longest_pause_s : float
-        Between two events.
+        Whether a target may have run the request or may be running it.
+    excluded_targets : set of str
+        Targets that have been tried and that the request is not sent to again.
+    last_event_id : str or None
+        Id of the last event sent to the caller that had an id.
+    event_count : int
+        Number of events sent to the caller.
+    answer_started : bool
+        Whether the head of the answer has been sent to the caller.
+    max_pause_s : float
+        Longest time between two events, in seconds.
     last_event_at : float or None
-        Monotonic seconds.
-    began_at : float or None
-        When the first event of the present try came, in monotonic seconds.
+        When the last event was sent, in monotonic seconds.
+    first_event_at : float or None
+        When the first event of the current attempt was sent, in monotonic seconds.
     """
 
     route: Route
-    arrived: int = 0
+    delivered_attempts: int = 0
     may_have_run: bool = False
-    tried: set[str] = field(default_factory=set)
-    last_event: str | None = None
-    events: int = 0
-    answering: bool = False
-    longest_pause_s: float = 0.0
+    excluded_targets: set[str] = field(default_factory=set)
+    last_event_id: str | None = None
+    event_count: int = 0
+    answer_started: bool = False
+    max_pause_s: float = 0.0
     last_event_at: float | None = None
-    began_at: float | None = None
+    first_event_at: float | None = None
 
-    def begin_try(self) -> None:
-        """The request is sent to another target."""
-        self.began_at = None
+    def begin_attempt(self) -> None:
+        """Begin an attempt at another target."""
+        self.first_event_at = None
 
-    def ran_s(self, now: float) -> float:
-        """Seconds since the first event of the present try; 0 before it."""
-        return 0.0 if self.began_at is None else now - self.began_at
+    def seconds_since_first_event(self, now: float) -> float:
+        """Return the seconds since the first event of the current attempt; 0 before it."""
+        return 0.0 if self.first_event_at is None else now - self.first_event_at
 
-    def failed_before_send(self, target: str) -> None:
-        """No byte reached ``target``."""
-        self.tried.add(target)
+    def record_send_failure(self, target: str) -> None:
+        """Record that no byte reached ``target``."""
+        self.excluded_targets.add(target)
 
-    def not_run(self, target: str) -> None:
-        """``target`` has said that it did not run the request."""
-        self.arrived += 1
-        self.tried.add(target)
+    def record_not_run(self, target: str) -> None:
+        """Record that ``target`` answered that it has not run the request."""
+        self.delivered_attempts += 1
+        self.excluded_targets.add(target)
 
-    def maybe_ran(self, target: str) -> None:
-        """The request was sent to ``target`` and may have run."""
-        self.arrived += 1
+    def record_possible_run(self, target: str) -> None:
+        """Record that ``target`` received the request and may have run it."""
+        self.delivered_attempts += 1
         self.may_have_run = True
-        self.tried.add(target)
+        self.excluded_targets.add(target)
 
-    def note_events(self, events: list[Event]) -> None:
-        """Whole events have gone to the caller."""
+    def record_events(self, events: list[Event]) -> None:
+        """Record complete events that were sent to the caller."""
         now = time.monotonic()
         if self.last_event_at is not None:
-            self.longest_pause_s = max(self.longest_pause_s, now - self.last_event_at)
+            self.max_pause_s = max(self.max_pause_s, now - self.last_event_at)
         self.last_event_at = now
-        if self.began_at is None:
-            self.began_at = now
-        self.events += len(events)
+        if self.first_event_at is None:
+            self.first_event_at = now
+        self.event_count += len(events)
         for event in events:
             if event.event_id is not None:
-                self.last_event = event.event_id
+                self.last_event_id = event.event_id
 
-    def may_try_again(self, left_s: float) -> bool:
-        """Whether the request may be sent to another target, with ``left_s`` seconds left."""
-        if left_s < _LEAST_LEFT_S or self.arrived >= self.route.max_attempts:
+    def allows_retry(self, left_s: float) -> bool:
+        """Return whether the request may be sent to another target with ``left_s`` seconds left."""
+        if left_s < _MIN_ATTEMPT_S or self.delivered_attempts >= self.route.max_attempts:
             return False
-        if self.answering and not self._resumable_here():
+        if self.answer_started and not self._can_resume():
             return False
         return self.route.repeatable or not self.may_have_run
 
-    def may_repeat_now(self) -> bool:
-        """Whether the try in progress may be given up for another one."""
-        more = self.arrived + 1 < self.route.max_attempts
-        return more and self.route.repeatable and (not self.answering or self._resumable_here())
-
-    def _resumable_here(self) -> bool:
-        # Without the id of its last event a stream would start over and repeat what the caller has.
-        return self.route.resumable and (self.events == 0 or self.last_event is not None)
-
-    def failure(self, cause: TurmerictrayError, timed_out: bool) -> TurmerictrayError:
-        """The error that the caller is told when the request is given up.
-
-        A refusal promises that the request has not run and never will; once a try may have run,
-        only an unknown outcome is the truth.
+    def may_abandon_attempt(self) -> bool:
+        """Return whether the current attempt may be abandoned for another one."""
+        has_attempts_left = self.delivered_attempts + 1 < self.route.max_attempts
+        return (
+            has_attempts_left
+            and self.route.repeatable
+            and (not self.answer_started or self._can_resume())
+        )
+
+    def _can_resume(self) -> bool:
+        # Without the id of its last event, a stream would start again from the beginning and repeat
+        # events that the caller has received.
+        return self.route.resumable and (self.event_count == 0 or self.last_event_id is not None)
+
+    def final_error(self, cause: TurmerictrayError, timed_out: bool) -> TurmerictrayError:
+        """Return the error that the caller receives when there is no further attempt.
+
+        A refusal promises that the request has not run and will not run. Once an attempt may have
+        run, the outcome must be reported as unknown.
         """
         if self.may_have_run:
             if timed_out:
@@ -122,4 +128,4 @@
             return cause if isinstance(cause, OutcomeUnknown) else OutcomeUnknown(str(cause))
         if isinstance(cause, AdmissionError):
             return cause
-        return TargetBusy(str(cause), _RETRY_S) if isinstance(cause, NotSent) else cause
+        return TargetBusy(str(cause), _TARGET_BUSY_RETRY_S) if isinstance(cause, NotSent) else cause
--- a/turmerictray/router/published.py
+++ b/turmerictray/router/published.py
@@ -1,4 +1,4 @@
-"""What the platform has published, as this router read it, for peers that don't read it now."""
+"""Documents published by the platform, stored for peers that don't read the store themselves."""
 
 import base64
 import threading
@@ -17,7 +17,7 @@
 class StorePosition(NamedTuple):
     """A point in the store's history, ordered by era first.
 
-    A store that has come back from a copy gives revisions out again, in a higher era.
+    A store that was restored from a backup issues the same revisions again, in a higher era.
     """
 
     era: int = 0
@@ -25,57 +25,58 @@
 
 
 class PublishedEntry(msgspec.Struct, frozen=True, array_like=True):
-    """An entry of a target as published.
+    """A target's entry as published.
 
     Attributes
     ----------
     value : str
-        Base64.
+        The entry's bytes in Base64.
     revision : int
-        Of its newest change in the store.
-    lapses_in_s : float or None
-        The entry is missing, and its target is given up after that long; None where it is there.
+        Revision of its last change in the store.
+    expires_in_s : float or None
+        If the entry is missing from the store, seconds until its target is removed; None if the
+        entry is present.
     era : int
-        Of the revision.
+        Era of ``revision``.
     """
 
     value: str
     revision: int
-    lapses_in_s: float | None = None
+    expires_in_s: float | None = None
     era: int = 0
 
     @classmethod
     def encode(
-        cls, data: bytes, position: StorePosition, lapses_in_s: float | None = None
+        cls, data: bytes, position: StorePosition, expires_in_s: float | None = None
     ) -> "PublishedEntry":
-        """The entry whose bytes are ``data``."""
+        """Create the entry whose bytes are ``data``."""
         value = base64.b64encode(data).decode()
-        return cls(value, position.revision, lapses_in_s, position.era)
+        return cls(value, position.revision, expires_in_s, position.era)
 
     @property
     def position(self) -> StorePosition:
-        """Its newest change in the store."""
+        """Position of its last change in the store."""
         return StorePosition(self.era, self.revision)
 
     def decode(self) -> bytes:
-        """The entry's bytes; raises :class:`ValueError`."""
+        """Return the entry's bytes; raise :class:`ValueError` if they are not valid Base64."""
         return base64.b64decode(self.value, validate=True)
 
 
 class PublishedDocs(msgspec.Struct, frozen=True):
-    """The documents as published.
+    """The published documents: routing configuration and targets.
 
     Attributes
     ----------
     text : str or None
-        The routing text, base64.
+        The routing configuration in Base64.
     text_version : int
     targets : dict of str to PublishedEntry
-        By the target's name; a target that is not named is gone.
+        Entries by target name; a target without an entry has been removed.
     targets_revision : int
-        Revision of the newest change of an entry, a removal included; 0 for none.
+        Revision of the last change of any entry, including removals; 0 for none.
     targets_era : int
-        Of that revision.
+        Era of ``targets_revision``.
     """
 
     text: str | None = None
@@ -86,22 +87,22 @@
 
     @property
     def targets_position(self) -> StorePosition:
-        """The newest change of an entry."""
+        """Position of the last change of any entry."""
         return StorePosition(self.targets_era, self.targets_revision)
 
     def text_bytes(self) -> bytes | None:
-        """The routing text; raises :class:`ValueError`."""
+        """Return the routing configuration; raise :class:`ValueError` if it is not valid Base64."""
         return None if self.text is None else base64.b64decode(self.text, validate=True)
 
 
 @dataclass(frozen=True)
 class Position:
-    """How far a router has read what the platform publishes.
+    """The versions of the published documents that a router has read.
 
     Attributes
     ----------
     text_version : int
-        0 for no text. Operators never give a version twice, so it needs no era.
+        0 for no routing configuration. Operators never reuse a version, so it needs no era.
     targets : StorePosition
         Revision 0 for no list of targets.
     """
@@ -110,25 +111,25 @@
     targets: StorePosition = StorePosition()
 
     def is_behind(self, other: "Position") -> bool:
-        """Whether ``other`` knows something newer."""
+        """Return whether any document of ``other`` is newer."""
         return self.text_version < other.text_version or self.targets < other.targets
 
     def merge(self, other: "Position") -> "Position":
-        """The newest of both."""
+        """Return the newer version of each document."""
         return Position(
             max(self.text_version, other.text_version), max(self.targets, other.targets)
         )
 
 
 class PublishedCopy:
-    """Holds the newest documents; shared between the reading threads and the admin server."""
+    """Store of the newest documents, shared by the reading threads and the admin server."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._docs = PublishedDocs()
 
-    def put_text(self, data: bytes, version: int) -> None:
-        """Keep a routing text as published."""
+    def put_config(self, data: bytes, version: int) -> None:
+        """Store a published routing configuration if it is newer."""
         with self._lock:
             if version > self._docs.text_version:
                 self._docs = msgspec.structs.replace(
@@ -138,7 +139,7 @@
     def put_targets(
         self, entries: dict[TargetName, PublishedEntry], position: StorePosition
     ) -> None:
-        """Keep the entries of all targets as published."""
+        """Store the published entries of all targets."""
         with self._lock:
             self._docs = msgspec.structs.replace(
                 self._docs,
@@ -148,29 +149,29 @@
             )
 
     def docs(self) -> PublishedDocs:
-        """The documents held now."""
+        """Return the stored documents."""
         with self._lock:
             return self._docs
 
     def position(self) -> Position:
-        """How far the documents held now go."""
+        """Return the versions of the stored documents."""
         docs = self.docs()
         return Position(docs.text_version, docs.targets_position)
 
 
 class PeerDocs:
-    """Fetches the published documents from peers."""
+    """Client that fetches the published documents from peers."""
 
     def __init__(self) -> None:
         self._http = urllib3.PoolManager(num_pools=4, maxsize=1, retries=False)
 
     def fetch(self, admin: str) -> PublishedDocs:
-        """Read a peer's documents from its admin address (``host:port``).
+        """Fetch a peer's documents from its admin address (``host:port``).
 
         Raises
         ------
         PeerError
-            The peer can't be reached or its answer can't be read.
+            The peer is unreachable or its answer is invalid.
         """
         try:
             resp = self._http.request("GET", f"http://{admin}/published", timeout=_TIMEOUT_S)
--- a/turmerictray/router/relay.py
+++ b/turmerictray/router/relay.py
@@ -4,9 +4,9 @@
 
 from turmerictray.admission.pool import Outcome
 from turmerictray.core.errors import OutcomeUnknown, TargetBusy, TargetFailed
-from turmerictray.router.dialect import AnswerSigns, Dialect
+from turmerictray.router.dialect import AnswerFlags, Dialect
 from turmerictray.router.progress import Progress
-from turmerictray.router.routed import Routed
+from turmerictray.router.routed_request import RoutedRequest
 from turmerictray.transport.events import EventSplitter, EventTooLarge
 from turmerictray.transport.exchange import ClientExchange
 from turmerictray.transport.target_conn import AnswerHead, TargetConnection
@@ -30,7 +30,7 @@
     ----------
     exchange : ClientExchange
     dialect : Dialect
-    routed : Routed
+    routed : RoutedRequest
     progress : Progress
     on_answer_start : callable
         Called when the whole answer, or the first event of a stream, has arrived.
@@ -47,7 +47,7 @@
         self,
         exchange: ClientExchange,
         dialect: Dialect,
-        routed: Routed,
+        routed: RoutedRequest,
         progress: Progress,
         on_answer_start,
     ) -> None:
@@ -81,17 +81,17 @@
         CallerGone
             The caller's connection was closed.
         """
-        signs = self._dialect.signs(head, self._routed.envelope)
-        self.leaving = signs.leaving
-        self._check(head, signs)
+        flags = self._dialect.read_answer(head, self._routed.envelope)
+        self.leaving = flags.leaving
+        self._check(head, flags)
         if _is_event_stream(head):
             self._relay_events(conn, head)
             return
-        body = conn.read_whole(self._routed.bounds.answer_deadline)
-        if signs.not_run:
+        body = conn.read_body(self._routed.bounds.answer_deadline)
+        if flags.not_run:
             raise TargetBusy(f"target did not run the request: status {head.status}", 0.5)
         self.outcome = Outcome.FAILED if head.status >= 500 else Outcome.DONE
-        if self._progress.answering:
+        if self._progress.answer_started:
             raise OutcomeUnknown(f"target answered {head.status} instead of resuming the stream")
         if head.status >= 500 and not is_last_attempt:
             raise TargetFailed(head, body)
@@ -101,10 +101,10 @@
         """Send the caller a 5xx answer that was withheld while another target was tried."""
         self._relay_whole(failure.head, failure.body)
 
-    def _check(self, head: AnswerHead, signs: AnswerSigns) -> None:
-        if not signs.own:
+    def _check(self, head: AnswerHead, flags: AnswerFlags) -> None:
+        if not flags.matches_request:
             raise OutcomeUnknown("the answer belongs to another request")
-        if head.status < 300 and not signs.genuine:
+        if head.status < 300 and not flags.is_genuine:
             raise OutcomeUnknown("the answer is unsigned")
 
     def _relay_whole(self, head: AnswerHead, body: bytes) -> None:
@@ -118,7 +118,7 @@
 
     def _relay_events(self, conn: TargetConnection, head: AnswerHead) -> None:
         splitter = EventSplitter()
-        while data := conn.read_piece(self._next_event_deadline()):
+        while data := conn.read_available(self._next_event_deadline()):
             try:
                 events = splitter.feed(data)
             except EventTooLarge as exc:
@@ -127,23 +127,23 @@
                 continue
             self._start_stream(head)
             self._exchange.send(b"".join(event.data for event in events))
-            self._progress.note_events(events)
+            self._progress.record_events(events)
         self._start_stream(head)
         if splitter.rest:
             self._exchange.send(splitter.rest)
 
     def _start_stream(self, head: AnswerHead) -> None:
-        if self._progress.answering:
+        if self._progress.answer_started:
             return
         self._on_answer_start()
-        self._progress.answering = True
+        self._progress.answer_started = True
         self._exchange.start_stream(head.status, self._dialect.answer_headers(head))
 
     def _next_event_deadline(self) -> float:
         """Return the time by which the next event must arrive, in monotonic seconds."""
         answer_deadline = self._routed.bounds.answer_deadline
         route = self._routed.route
-        if not (self._progress.events and self._progress.may_repeat_now()):
+        if not (self._progress.event_count and self._progress.may_abandon_attempt()):
             return answer_deadline
         timeout_s = max(_MIN_EVENT_TIMEOUT_S, _EVENT_TIMEOUT_FACTOR * route.gap_s)
         return min(answer_deadline, time.monotonic() + timeout_s)
--- a/turmerictray/router/request.py
+++ b/turmerictray/router/request.py
@@ -1,4 +1,4 @@
-"""What the front reads from a caller's request before it is queued."""
+"""Parsing of a caller's request before it is queued."""
 
 import hashlib
 import uuid
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from turmerictray.config.schema import Config, CutPolicy, Service, ServiceKind
+from turmerictray.config.schema import Config, PartitionPolicy, Service, ServiceKind
 from turmerictray.core.errors import CallerError
 from turmerictray.core.ids import RequestId, ServiceName, TeamId
 
@@ -24,18 +24,19 @@
 
 @dataclass(frozen=True)
 class CallerRequest:
-    """A caller's request as the router needs it.
+    """Parsed request of a caller.
 
     Attributes
     ----------
     hint : float
-        Rough cost in tokens: prompt length over four plus ``max_tokens``.
+        Estimated cost in tokens: prompt length in characters over four, plus ``max_tokens``.
     idempotent : bool
-        False when the caller sent ``Idempotency-Key`` or the service marks the call.
-    when_cut : CutPolicy
-        The service's rule for non-idempotent requests while routers are cut off.
+        False if the caller sent ``Idempotency-Key`` or the service declares the path, or all its
+        paths, non-idempotent.
+    when_cut : PartitionPolicy
+        The service's policy for non-idempotent requests during a network partition.
     caller_keyed : bool
-        Whether ``req_id`` came from the caller, who may then send the request again under it.
+        Whether ``req_id`` came from the caller, who may then retry the request with the same id.
     upstream_path : str
         Path to call on the target.
     """
@@ -51,17 +52,17 @@
     upstream_path: str
     stream: bool
     config_version: int = 0
-    when_cut: CutPolicy = CutPolicy.REFUSE
+    when_cut: PartitionPolicy = PartitionPolicy.REFUSE
     caller_keyed: bool = False
 
 
 def identify_team(cfg: Config, headers: dict[str, str]) -> TeamId:
-    """The caller's team, from ``X-Team`` or a bearer key.
+    """Return the caller's team, from ``X-Team`` or a bearer key.
 
     Raises
     ------
     CallerError
-        401 when the team is unknown and no default team is set.
+        401 if the team is unknown or if none is named and no default team is set.
     """
     known = {team.id for team in cfg.teams}
     name = headers.get("x-team")
@@ -82,7 +83,7 @@
     Raises
     ------
     CallerError
-        When the body is not a JSON object of the OpenAI-style API, or no pool serves the model.
+        The body is not a JSON object of the OpenAI-style API, or no pool serves the model.
     """
     try:
         doc = msgspec.json.decode(body, type=_ModelBody)
@@ -91,12 +92,12 @@
     svc = cfg.model_service(doc.model)
     if svc is None:
         raise CallerError(f"no pool serves model {doc.model!r}", 404)
-    text = doc.prompt or ""
+    prompt_text = doc.prompt or ""
     if doc.messages:
-        text = " ".join(str(msg.get("content", "")) for msg in doc.messages)
+        prompt_text = " ".join(str(msg.get("content", "")) for msg in doc.messages)
     max_tokens = doc.max_tokens or int(cfg.limits.default_cost_hint)
-    estimated_cost = len(text) / _CHARS_PER_TOKEN + max_tokens
-    prefix = text[:_PREFIX_CHARS]
+    estimated_cost = len(prompt_text) / _CHARS_PER_TOKEN + max_tokens
+    prefix = prompt_text[:_PREFIX_CHARS]
     prefix_key = hashlib.blake2b(prefix.encode(), digest_size=8).hexdigest() if prefix else None
     return _build(cfg, svc, path, headers, body, estimated_cost, prefix_key, doc.stream)
 
@@ -107,7 +108,7 @@
     Raises
     ------
     CallerError
-        404 when the service is unknown or is a model pool.
+        404 if the service is unknown or is a model pool.
     """
     _, _, rest = path.partition("/svc/")
     name, _, sub = rest.partition("/")
@@ -122,8 +123,8 @@
 ) -> CallerRequest:
     key = headers.get("idempotency-key")
     idempotent = key is None and svc.idempotent and path not in svc.non_idempotent_paths
-    given = key or headers.get("x-request-id") or None
-    req_id = given or uuid.uuid4().hex
+    caller_id = key or headers.get("x-request-id") or None
+    req_id = caller_id or uuid.uuid4().hex
     return CallerRequest(
         RequestId(req_id),
         identify_team(cfg, headers),
@@ -137,5 +138,5 @@
         stream,
         cfg.version,
         svc.when_cut,
-        given is not None,
+        caller_id is not None,
     )
--- a/turmerictray/router/routed.py
+++ b/turmerictray/router/routed_request.py
@@ -1,4 +1,4 @@
-"""A request that has been read and matched to its route."""
+"""A parsed request and its route."""
 
 from dataclasses import dataclass
 from functools import cached_property
@@ -6,7 +6,7 @@
 from turmerictray.admission.backlog import TeamRoute
 from turmerictray.admission.digest import request_digest
 from turmerictray.admission.time_bounds import TimeBounds
-from turmerictray.config.routes import Route, RoutingText
+from turmerictray.config.routes import Route, RoutingConfig
 from turmerictray.core.errors import CallerError
 from turmerictray.core.ids import RequestDigest, ServiceName, TeamId
 from turmerictray.router.dialect import Envelope
@@ -16,37 +16,40 @@
 _PLAIN_COST = 1.0
 
 
-def ledger_team(team: TeamId | None) -> TeamId:
-    """Whose service a request counts as; requests without a team share one name."""
+def accounting_team(team: TeamId | None) -> TeamId:
+    """Return the team that a request's usage is charged to.
+
+    Requests without a team share one placeholder name.
+    """
     return team if team is not None else _NO_TEAM
 
 
-def team_for(text: RoutingText, route: Route, key: str | None) -> TeamId | None:
-    """The team whose key a caller presents, or None for a public route without one.
+def authenticate_team(config: RoutingConfig, route: Route, key: str | None) -> TeamId | None:
+    """Return the team of a caller's key, or None if it has none and the route needs no key.
 
     Raises
     ------
     CallerError
-        The route needs a key, and nobody holds this one.
+        The route needs a key, and no team has this one.
     """
-    team = text.team_of(key) if key is not None else None
-    if team is None and text.keys_needed and not route.public:
+    team = config.team_of(key) if key is not None else None
+    if team is None and config.keys_needed and not route.public:
         raise CallerError("unknown key", 401)
     return team
 
 
 @dataclass(frozen=True)
-class Routed:
-    """A request with its route, team and times.
+class RoutedRequest:
+    """A parsed request with its route, team and time limits.
 
     Attributes
     ----------
     call_id : int
         Unique in this process.
     team : TeamId or None
-        None for a public route.
+        None for a request without a team's key.
     text_version : int
-        Version of the text that routed it.
+        Version of the configuration that determined the route.
     """
 
     call_id: int
@@ -60,23 +63,23 @@
     text_version: int
 
     @property
-    def ledger_team(self) -> TeamId:
-        """Whose service it counts as."""
-        return ledger_team(self.team)
+    def accounting_team(self) -> TeamId:
+        """Team that the request's usage is charged to."""
+        return accounting_team(self.team)
 
     @property
     def backlog_key(self) -> TeamRoute:
-        """The requests that it waits among."""
-        return TeamRoute(self.ledger_team, self.route.name)
+        """Key of the team's and route's backlog in which the request is counted."""
+        return TeamRoute(self.accounting_team, self.route.name)
 
     @cached_property
     def digest(self) -> RequestDigest:
-        """Tells it when it comes again with another id."""
+        """Digest that identifies the request when it is sent again under another id."""
         head = self.head
         return request_digest(head.method, head.host, head.target, self.envelope.key, self.body)
 
     @property
     def cost(self) -> float:
-        """What it takes from the pool, in tokens read."""
+        """Cost of the request in tokens to prefill; a constant for plain services."""
         prompt = self.envelope.prompt
         return prompt.cost if prompt is not None else _PLAIN_COST
--- a/turmerictray/router/run.py
+++ b/turmerictray/router/run.py
@@ -1,4 +1,4 @@
-"""The tries of one request: ask for a target, send, relay, settle."""
+"""Attempts of one request: request a target, send, relay the answer, settle the grant."""
 
 import time
 from collections.abc import Iterator
@@ -36,10 +36,10 @@
 from turmerictray.router.placement_client import PlacementClient
 from turmerictray.router.progress import Progress
 from turmerictray.router.relay import AnswerRelay
-from turmerictray.router.routed import Routed
+from turmerictray.router.routed_request import RoutedRequest
 from turmerictray.router.trace import RequestTrace
+from turmerictray.transport.disconnect import CancellableCall
 from turmerictray.transport.exchange import ClientExchange
-from turmerictray.transport.hangup import Call
 from turmerictray.transport.pool import ConnectionPool
 from turmerictray.transport.target_conn import AnswerHead, TargetConnection, TargetRequest
 
@@ -48,19 +48,20 @@
 packet on a link within a region and leaves time to try another target."""
 
 _GRANT_SLACK_S = 0.3
-"""How long past its own time limit a request waits for the broker to say that it is over."""
+"""Time that a request waits, beyond its queue deadline, for the broker's refusal, in seconds."""
 
 _SILENCE_FACTOR = 4.0
-_LEAST_SILENCE_S = 2.0
-"""A target that has not begun to answer after four times the expected time, and not less than this,
-is given up for another one if the request may be repeated: estimates are rarely off by more."""
+_MIN_SILENCE_S = 2.0
+"""A target that has not begun to answer after four times the expected time, and at least this many
+seconds, is abandoned for another one if the request may be retried. Estimates are rarely off by
+more than that factor."""
 
 
 @dataclass(frozen=True)
-class Parts:
-    """What the tries of all requests share."""
+class RequestDependencies:
+    """Components that the attempts of all requests share."""
 
-    desk: PlacementClient
+    placement_client: PlacementClient
     dialect: Dialect
     pool: ConnectionPool
     backlog: TeamBacklog = field(default_factory=TeamBacklog)
@@ -68,158 +69,172 @@
 
 
 class RequestRun:
-    """Sends one request to targets until it has its final answer.
+    """Attempts of one request at targets, until the caller has its final answer.
 
     Parameters
     ----------
-    parts : Parts
-    routed : Routed
+    deps : RequestDependencies
+    routed : RoutedRequest
     exchange : ClientExchange
-    call : Call
+    call : CancellableCall
     trace : RequestTrace
     """
 
     def __init__(
         self,
-        parts: Parts,
-        routed: Routed,
+        deps: RequestDependencies,
+        routed: RoutedRequest,
         exchange: ClientExchange,
-        call: Call,
+        call: CancellableCall,
         trace: RequestTrace,
     ) -> None:
-        self._parts = parts
+        self._deps = deps
         self._routed = routed
         self._exchange = exchange
         self._call = call
         self._trace = trace
         self._progress = Progress(routed.route)
-        self._failure: TargetFailed | None = None
+        self._withheld_failure: TargetFailed | None = None
         trace.progress = self._progress
 
     def run(self) -> None:
-        """Try until the caller has an answer.
+        """Make attempts until the caller has an answer.
 
         Raises
         ------
         TurmerictrayError
-            What the caller is to be told; :class:`CallerGone` when there is no caller any more.
+            The error to answer the caller with; :class:`CallerGone` if the caller disconnected.
         """
-        while (granted := self._ask_or_give_up()) is not None:
+        while (granted := self._next_grant()) is not None:
             try:
-                self._try_at(granted)
-                self._parts.crashes.quarantine.note_answered(self._routed.digest)
+                self._attempt(granted)
+                self._deps.crashes.quarantine.note_answered(self._routed.digest)
                 return
             except (NotSent, OutcomeUnknown, TargetBusy, TargetFailed) as exc:
-                if self._end_here(exc):
+                if self._finish_after_failure(exc):
                     return
 
-    def _end_here(self, exc: TurmerictrayError) -> bool:
-        """Whether a held-back failure has gone to the caller; raises if there is none."""
-        if self._call.gone:
-            raise CallerGone("caller gone during a try") from exc
-        left = self._routed.bounds.answer_deadline - time.monotonic()
-        again = self._progress.may_try_again(left) and self._is_unsuspected()
-        self._log_try(exc, left, again)
+    def _finish_after_failure(self, exc: TurmerictrayError) -> bool:
+        """Decide what follows a failed attempt.
+
+        Returns
+        -------
+        bool
+            False if another attempt follows; True if a withheld failed answer was relayed to the
+            caller instead.
+
+        Raises
+        ------
+        TurmerictrayError
+            There is no further attempt and no withheld answer.
+        """
+        if self._call.caller_gone:
+            raise CallerGone("caller gone during an attempt") from exc
+        left_s = self._routed.bounds.answer_deadline - time.monotonic()
+        again = self._progress.allows_retry(left_s) and self._quarantine_allows_retry()
+        self._log_failed_attempt(exc, left_s, again)
         if again:
             return False
-        if self._relay_held_failure():
+        if self._relay_withheld_failure():
             return True
-        raise self._progress.failure(exc, timed_out=left <= 0) from exc
+        raise self._progress.final_error(exc, timed_out=left_s <= 0) from exc
 
-    def _is_unsuspected(self) -> bool:
-        quarantine = self._parts.crashes.quarantine
+    def _quarantine_allows_retry(self) -> bool:
+        quarantine = self._deps.crashes.quarantine
         return quarantine.may_retry(self._routed.digest, time.monotonic())
 
-    def _relay_held_failure(self) -> bool:
-        """Give the caller the failed answer that was held back; false if there is none to give.
+    def _relay_withheld_failure(self) -> bool:
+        """Relay the withheld failed answer to the caller; return False if that isn't possible.
 
-        Once a stream has begun there is no place for another answer: written into the stream, it
-        would end it as if it were complete.
+        Once a stream has begun, no other answer can be sent: written into the stream, it would end
+        it as if it were complete.
         """
-        if self._failure is None or self._progress.answering:
+        if self._withheld_failure is None or self._progress.answer_started:
             return False
-        self._relay(self._trace.granted).relay_withheld_answer(self._failure)
+        self._relay(self._trace.granted).relay_withheld_answer(self._withheld_failure)
         return True
 
-    def _log_try(self, exc: TurmerictrayError, left: float, again: bool) -> None:
+    def _log_failed_attempt(self, exc: TurmerictrayError, left_s: float, again: bool) -> None:
         granted = self._trace.granted
         log_request(
             "try_failed",
             failed=True,
             req=self._routed.envelope.request_id,
             target=granted.target.id if granted else "-",
-            tries=self._progress.arrived,
+            tries=self._progress.delivered_attempts,
             may_have_run=self._progress.may_have_run,
-            left_ms=round(left * 1000),
+            left_ms=round(left_s * 1000),
             again=again,
             reason=f"{type(exc).__name__}: {exc}"[:200],
         )
 
-    def _ask_or_give_up(self) -> Granted | None:
-        """A target to try; None when a held-back failure has gone to the caller instead."""
+    def _next_grant(self) -> Granted | None:
+        """Return a granted target, or None if a withheld failed answer was relayed instead."""
         try:
-            self._parts.crashes.quarantine.check(self._routed.digest, time.monotonic())
-            granted = self._ask()
+            self._deps.crashes.quarantine.check(self._routed.digest, time.monotonic())
+            granted = self._request_target()
         except AdmissionError as exc:
-            if not self._call.gone and self._relay_held_failure():
+            if not self._call.caller_gone and self._relay_withheld_failure():
                 return None
-            raise self._progress.failure(exc, isinstance(exc, QueueTimeout)) from exc
+            raise self._progress.final_error(exc, isinstance(exc, QueueTimeout)) from exc
         self._trace.note_granted(granted)
         return granted
 
-    def _try_at(self, granted: Granted) -> None:
-        booking = _Booking(self._parts.desk, self._routed, granted)
+    def _attempt(self, granted: Granted) -> None:
+        slot = _GrantedSlot(self._deps.placement_client, self._routed, granted)
         try:
-            with self._parts.crashes.running(self._routed.digest, time.monotonic()):
-                conn = self._connect(granted, booking)
-                self._send(conn, granted, booking)
+            with self._deps.crashes.running(self._routed.digest, time.monotonic()):
+                conn = self._connect(granted, slot)
+                self._send(conn, granted, slot)
         except Quarantined as exc:
-            booking.settle(Outcome.NOT_RUN, 0.0)
-            raise self._progress.failure(exc, timed_out=False) from exc
+            slot.settle(Outcome.NOT_RUN, 0.0)
+            raise self._progress.final_error(exc, timed_out=False) from exc
         finally:
-            # Whatever went wrong, the slot must be given back or it is lost to this router.
-            booking.settle(Outcome.FAILED, self._routed.cost)
+            # Release the slot after any failure; otherwise this router would lose it for good.
+            slot.settle(Outcome.FAILED, self._routed.cost)
 
-    def _ask(self) -> Granted:
+    def _request_target(self) -> Granted:
         routed, progress = self._routed, self._progress
         reply = Reply()
-        # A later try has already waited its turn; it may use what time is left.
+        # A later attempt has waited in the queue before; it may use all the remaining time.
         queue_deadline = (
-            routed.bounds.answer_deadline if progress.tried else routed.bounds.queue_deadline
+            routed.bounds.answer_deadline
+            if progress.excluded_targets
+            else routed.bounds.queue_deadline
         )
         ask = Ask(
             routed.call_id,
             routed.envelope.request_id,
-            routed.ledger_team,
+            routed.accounting_team,
             routed.service,
             routed.cost,
             routed.envelope.prompt,
             queue_deadline,
             reply,
-            frozenset(progress.tried),
-            retry=bool(progress.tried),
-            repeat=progress.arrived > 0,
+            frozenset(progress.excluded_targets),
+            retry=bool(progress.excluded_targets),
+            repeat=progress.delivered_attempts > 0,
             answer_deadline=routed.bounds.answer_deadline,
             digest=routed.digest,
         )
-        desk = self._parts.desk
-        if not self._call.on_hang_up(lambda: desk.tell(self._withdraw())):
+        client = self._deps.placement_client
+        if not self._call.on_disconnect(lambda: client.tell(self._withdrawal())):
             raise CallerGone("caller gone before a target was asked for")
-        desk.tell(ask)
+        client.tell(ask)
         try:
-            with self._in_backlog():
-                return self._wait_for(reply, queue_deadline)
+            with self._counted_as_waiting():
+                return self._await_grant(reply, queue_deadline)
         finally:
-            self._call.on_hang_up(None)
+            self._call.on_disconnect(None)
 
     @contextmanager
-    def _in_backlog(self) -> Iterator[None]:
-        """Count the request as one that waits, as long as it does."""
+    def _counted_as_waiting(self) -> Iterator[None]:
+        """Count the request in its team's backlog while it waits for a grant."""
         self._exchange.finish_reading()
         if self._routed.envelope.prompt is None:
             yield
             return
-        backlog, key = self._parts.backlog, self._routed.backlog_key
+        backlog, key = self._deps.backlog, self._routed.backlog_key
         backlog.start_waiting(key)
         granted = False
         try:
@@ -231,104 +246,110 @@
         finally:
             backlog.stop_waiting(key, granted, time.monotonic())
 
-    def _wait_for(self, reply: Reply, queue_deadline: float) -> Granted:
+    def _await_grant(self, reply: Reply, queue_deadline: float) -> Granted:
         try:
             return reply.result(max(0.0, queue_deadline - time.monotonic()) + _GRANT_SLACK_S)
         except FutureTimeout:
-            # The broker's own expiry should have come first. A grant that comes at the same
-            # moment wins over the cancel and is used.
+            # The broker should have expired the request before. If a grant arrives at the same
+            # moment, the cancellation fails and the grant is used.
             if reply.cancel():
-                # Its word was lost or is late; left in the queue, the request would be looked at
-                # for seconds, and granted to nobody.
-                self._parts.desk.tell(self._withdraw())
+                # The broker's answer is late or lost. If the request stayed in the queue, placement
+                # would be attempted for seconds and a grant would have no receiver.
+                self._deps.placement_client.tell(self._withdrawal())
                 raise QueueTimeout("queue_timeout", _GRANT_SLACK_S) from None
             return reply.result()
 
-    def _withdraw(self) -> Withdraw:
+    def _withdrawal(self) -> Withdraw:
         return Withdraw(self._routed.call_id, self._routed.service)
 
-    def _connect(self, granted: Granted, booking: "_Booking") -> TargetConnection:
+    def _connect(self, granted: Granted, slot: "_GrantedSlot") -> TargetConnection:
         target = granted.target
         try:
-            return self._parts.pool.take(target.id, target.address, _CONNECT_S)
+            return self._deps.pool.acquire(target.id, target.address, _CONNECT_S)
         except NotSent:
-            self._progress.failed_before_send(target.id)
-            booking.settle(Outcome.NOT_REACHED, 0.0)
+            self._progress.record_send_failure(target.id)
+            slot.settle(Outcome.NOT_REACHED, 0.0)
             raise
 
-    def _send(self, conn: TargetConnection, granted: Granted, booking: "_Booking") -> None:
-        if self._call.look() or not self._call.on_hang_up(conn.abort):
+    def _send(self, conn: TargetConnection, granted: Granted, slot: "_GrantedSlot") -> None:
+        if self._call.check_disconnected() or not self._call.on_disconnect(conn.abort):
             conn.close()
-            booking.settle(Outcome.CALLER_GONE, 0.0)
+            slot.settle(Outcome.CALLER_GONE, 0.0)
             raise CallerGone("caller gone before the request was sent")
         target = granted.target
-        self._progress.begin_try()
+        self._progress.begin_attempt()
         relay = self._relay(granted)
         try:
             head = self._exchange_heads(conn, granted)
-            relay.relay_answer(conn, head, is_last_attempt=not self._progress.may_repeat_now())
+            relay.relay_answer(conn, head, is_last_attempt=not self._progress.may_abandon_attempt())
         except TargetBusy:
-            self._progress.not_run(target.id)
-            booking.settle(Outcome.NOT_RUN, 0.0)
+            self._progress.record_not_run(target.id)
+            slot.settle(Outcome.NOT_RUN, 0.0)
             if relay.leaving:
-                self._parts.desk.tell(TargetLeaving(self._routed.service, target.id))
-            self._parts.pool.give_back(target.id, conn, head)
+                self._deps.placement_client.tell(TargetLeaving(self._routed.service, target.id))
+            self._deps.pool.release(target.id, conn, head)
             raise
         except TargetFailed as exc:
-            self._failure = exc
-            self._parts.crashes.quarantine.note_answered(self._routed.digest)
-            self._progress.maybe_ran(target.id)
-            booking.settle(Outcome.FAILED, self._routed.cost)
-            self._parts.pool.give_back(target.id, conn, head)
+            self._withheld_failure = exc
+            self._deps.crashes.quarantine.note_answered(self._routed.digest)
+            self._progress.record_possible_run(target.id)
+            slot.settle(Outcome.FAILED, self._routed.cost)
+            self._deps.pool.release(target.id, conn, head)
             raise
         except TurmerictrayError as exc:
             conn.close()
-            self._after_break(exc, granted, booking)
+            self._settle_broken_attempt(exc, granted, slot)
             raise
         finally:
-            self._call.on_hang_up(None)
-        self._progress.arrived += 1
-        booking.settle(relay.outcome, self._routed.cost)
-        self._parts.pool.give_back(target.id, conn, head)
+            self._call.on_disconnect(None)
+        self._progress.delivered_attempts += 1
+        slot.settle(relay.outcome, self._routed.cost)
+        self._deps.pool.release(target.id, conn, head)
 
-    def _after_break(self, exc: TurmerictrayError, granted: Granted, booking: "_Booking") -> None:
-        gone = self._call.gone or isinstance(exc, CallerGone)
+    def _settle_broken_attempt(
+        self, exc: TurmerictrayError, granted: Granted, slot: "_GrantedSlot"
+    ) -> None:
+        gone = self._call.caller_gone or isinstance(exc, CallerGone)
         if isinstance(exc, OutcomeUnknown):
-            self._progress.maybe_ran(granted.target.id)
-        booking.settle(self._outcome_of_break(exc, gone, granted), self._routed.cost)
+            self._progress.record_possible_run(granted.target.id)
+        slot.settle(self._broken_attempt_outcome(exc, gone, granted), self._routed.cost)
 
-    def _outcome_of_break(self, exc: TurmerictrayError, gone: bool, granted: Granted) -> Outcome:
+    def _broken_attempt_outcome(
+        self, exc: TurmerictrayError, gone: bool, granted: Granted
+    ) -> Outcome:
         if gone:
             return Outcome.CALLER_GONE
         routed, now = self._routed, time.monotonic()
-        ran_s = self._progress.ran_s(now)
-        if self._parts.crashes.record_if_crash(routed.digest, granted.target, exc, ran_s, now):
+        ran_s = self._progress.seconds_since_first_event(now)
+        if self._deps.crashes.record_if_crash(routed.digest, granted.target, exc, ran_s, now):
             return Outcome.TARGET_ENDED
-        # A stream that is cut at the route's time-out while its events come says nothing against
-        # the target; counted as a failure, every long answer would send prompts away from it.
+        # A stream cut at the route's time-out while its events still arrive is no failure of the
+        # target. Counted as one, every long answer would divert prompts from the target.
         out_of_time = time.monotonic() >= self._routed.bounds.answer_deadline
-        if out_of_time and self._progress.events:
+        if out_of_time and self._progress.event_count:
             return Outcome.OUT_OF_TIME
         return Outcome.FAILED
 
     def _exchange_heads(self, conn: TargetConnection, granted: Granted) -> AnswerHead:
         routed = self._routed
         now = time.monotonic()
-        left = routed.bounds.answer_deadline - now
-        if left <= 0:
-            raise NotSent("no time left before sending")
-        resume_after = self._progress.last_event if self._progress.answering else None
-        headers = self._parts.dialect.target_headers(
-            routed.envelope, granted.target, routed.team, left, resume_after, granted.fetch_from
+        left_s = routed.bounds.answer_deadline - now
+        if left_s <= 0:
+            raise NotSent("no time left before the request could be sent")
+        resume_after = self._progress.last_event_id if self._progress.answer_started else None
+        headers = self._deps.dialect.target_headers(
+            routed.envelope, granted.target, routed.team, left_s, resume_after, granted.fetch_from
+        )
+        conn.send(
+            TargetRequest(routed.head.method, routed.head.target, headers, routed.body), left_s
         )
-        conn.send(TargetRequest(routed.head.method, routed.head.target, headers, routed.body), left)
-        return conn.read_head(routed.head.method, self._head_timeout(left, granted))
+        return conn.read_head(routed.head.method, self._head_timeout(left_s, granted))
 
-    def _head_timeout(self, left: float, granted: Granted) -> float:
-        if not self._progress.may_repeat_now():
-            return left
-        silence = max(_LEAST_SILENCE_S, _SILENCE_FACTOR * granted.expected_s)
-        return min(left, silence)
+    def _head_timeout(self, left_s: float, granted: Granted) -> float:
+        if not self._progress.may_abandon_attempt():
+            return left_s
+        silence = max(_MIN_SILENCE_S, _SILENCE_FACTOR * granted.expected_s)
+        return min(left_s, silence)
 
     def _relay(self, granted: Granted) -> AnswerRelay:
         sent_at = time.monotonic()
@@ -336,30 +357,30 @@
 
         def note_first() -> None:
             self._trace.note_first()
-            took = time.monotonic() - sent_at
-            self._parts.desk.tell(
-                FirstEvent(routed.call_id, routed.service, granted.target.id, took)
+            took_s = time.monotonic() - sent_at
+            self._deps.placement_client.tell(
+                FirstEvent(routed.call_id, routed.service, granted.target.id, took_s)
             )
 
-        return AnswerRelay(self._exchange, self._parts.dialect, routed, self._progress, note_first)
+        return AnswerRelay(self._exchange, self._deps.dialect, routed, self._progress, note_first)
 
 
-class _Booking:
-    """A grant, which is settled exactly once."""
+class _GrantedSlot:
+    """The slot of a grant, which is released exactly once."""
 
-    def __init__(self, desk: PlacementClient, routed: Routed, granted: Granted) -> None:
-        self._desk = desk
+    def __init__(self, client: PlacementClient, routed: RoutedRequest, granted: Granted) -> None:
+        self._client = client
         self._routed = routed
         self._granted = granted
-        self._open = True
+        self._is_open = True
 
     def settle(self, outcome: Outcome, cost: float) -> None:
-        """Give the slot back; later calls do nothing."""
-        if not self._open:
+        """Report the outcome and release the slot; later calls do nothing."""
+        if not self._is_open:
             return
-        self._open = False
+        self._is_open = False
         routed = self._routed
-        self._desk.tell(
+        self._client.tell(
             Settled(
                 routed.call_id,
                 routed.service,
--- a/turmerictray/router/server.py
+++ b/turmerictray/router/server.py
@@ -7,7 +7,7 @@
 
 from turmerictray.config.routes import FrontLimits
 from turmerictray.core.logs import log_event
-from turmerictray.transport.heads import HeadDeadlines, StrictServerMixin
+from turmerictray.transport.strict_server import HeadDeadlines, StrictServerMixin
 
 _LIMITS_CHECK_INTERVAL_S = 0.25
 """Interval between checks for overdue request heads and for changed limits."""
@@ -52,7 +52,7 @@
             shutdown_timeout=5,
             request_queue_size=1024,
         )
-        self.server.heads = HeadDeadlines()
+        self.server.head_deadlines = HeadDeadlines()
         self._limits = limits
         self.server.apply_limits(limits())
         self._stop = threading.Event()
@@ -87,4 +87,4 @@
             limits = self._limits()
             if limits != self.server.front_limits:
                 self.server.apply_limits(limits)
-            self.server.heads.close_overdue(limits.header_timeout_s)
+            self.server.head_deadlines.close_overdue(limits.header_timeout_s)
--- a/turmerictray/router/reload.py
+++ b/turmerictray/router/settings_reloader.py
@@ -1,4 +1,4 @@
-"""Takes changed settings into force without a restart."""
+"""Reload of changed settings without a restart."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -12,26 +12,26 @@
 from turmerictray.membership.link import Reseed
 from turmerictray.router.gateway_settings import GatewaySettings
 
-LOOK_S = 1.0
-"""Rhythm of looking whether the settings file has changed; it may change without a signal."""
+SETTINGS_POLL_S = 1.0
+"""Interval in seconds at which the settings are read again; they may change without a signal."""
 
 
 @dataclass(frozen=True)
 class Reload:
-    """Read the settings again now."""
+    """Message: read the settings again now."""
 
 
 class SettingsReloader(VitalActor):
-    """Reads the settings again when told to and now and then.
+    """Actor that reads the settings periodically and on request, and applies what has changed.
 
-    Addresses and the node's name are fixed for a process's life; what changes is whom it asks
-    about the fleet, and the limits of repeats.
+    The node's name and its addresses are fixed for the lifetime of the process. The seeds and the
+    retry limits can change.
 
     Parameters
     ----------
     current : GatewaySettings
     load : callable
-        Returns the settings as they are now; raises :class:`SettingsError`.
+        Returns the current settings; raises :class:`SettingsError`.
     broker, link : pykka.ActorRef
     """
 
@@ -50,7 +50,7 @@
         self._refused = ""
 
     def on_receive(self, message: Tick | Reload) -> None:
-        """Read the settings and pass on what has changed."""
+        """Read the settings and send the changes to the peer link and the broker."""
         try:
             settings = self._load()
         except SettingsError as exc:
@@ -61,7 +61,7 @@
             return
         log_event("settings_reloaded", seeds=",".join(map(str, settings.seeds)))
         self._link.tell(Reseed([f"tcp://{seed}" for seed in settings.seeds]))
-        self._broker.tell(settings.repeats)
+        self._broker.tell(settings.retry_limits)
         self._current = settings
 
     def _note_refused(self, reason: str) -> None:
--- a/turmerictray/router/status.py
+++ b/turmerictray/router/status.py
@@ -1,4 +1,4 @@
-"""What a router tells operators of its state, at ``GET /status``."""
+"""Router state that ``GET /status`` reports to operators."""
 
 import msgspec
 
@@ -6,7 +6,10 @@
 
 
 class TargetStatus(msgspec.Struct, frozen=True):
-    """One target as this router sees it; ``dispatched`` counts requests since the start."""
+    """State of a target as seen by this router.
+
+    ``dispatched`` counts the requests sent since the router started.
+    """
 
     id: str
     service: str
@@ -20,7 +23,7 @@
 
 
 class TeamStatus(msgspec.Struct, frozen=True):
-    """One team: tokens served here and fleet-wide, and requests waiting here."""
+    """A team's served tokens, locally and fleet-wide, and its locally queued requests."""
 
     local: float
     fleet: float
@@ -28,16 +31,16 @@
 
 
 class RouterStatus(msgspec.Struct, frozen=True):
-    """A router's state.
+    """State of a router.
 
     Attributes
     ----------
     share : float
-        Its smallest share of a service it has a queue for, from 0 to 1.
+        The router's smallest share of any service with a local queue, from 0 to 1.
     queued, in_hand, inflight : int
-        Requests waiting for a slot; held by the front; sent to targets.
+        Requests waiting for a slot; being handled by the front; sent to targets.
     orders : HomeState or None
-        The state of its home for the keys of non-idempotent requests.
+        State of the local replica that stores claims on non-idempotent requests.
     """
 
     node: str
--- a/turmerictray/router/trace.py
+++ b/turmerictray/router/trace.py
@@ -1,4 +1,4 @@
-"""The log line and the counters of one request."""
+"""Log line and metrics of one request."""
 
 import time
 
@@ -6,47 +6,50 @@
 from turmerictray.core.logs import log_request
 from turmerictray.router.broker_messages import Granted
 from turmerictray.router.progress import Progress
-from turmerictray.router.routed import Routed
+from turmerictray.router.routed_request import RoutedRequest
 from turmerictray.transport.exchange import RequestHead
 
 _DEFAULT_LEFT_S = 3.0
-"""How long a caller is taken to wait whose request could not be read far enough to tell."""
+"""Assumed time that a caller waits if its request could not be parsed far enough to know it."""
 
 
 class RequestTrace:
-    """Gathers what is known of a request, for the one line at its end."""
+    """Record of a request's handling, written as one log line at its end."""
 
     def __init__(self, head: RequestHead, arrived: float) -> None:
         self.head = head
         self.arrived = arrived
-        self.routed: Routed | None = None
+        self.routed: RoutedRequest | None = None
         self.granted: Granted | None = None
         self.granted_at: float | None = None
         self.first_at: float | None = None
         self.progress: Progress | None = None
 
     def note_granted(self, granted: Granted) -> None:
-        """A target was granted."""
+        """Record that a target was granted."""
         self.granted = granted
         self.granted_at = time.monotonic()
 
     def note_first(self) -> None:
-        """The answer, or its first event, starts to go out."""
+        """Record that the answer, or its first event, is about to be sent."""
         if self.first_at is None:
             self.first_at = time.monotonic()
 
     @property
-    def caller_left_s(self) -> float:
-        """How long the caller still waits, in seconds."""
+    def caller_remaining_s(self) -> float:
+        """Remaining time that the caller waits, in seconds."""
         if self.routed is None:
             return _DEFAULT_LEFT_S
-        left = self.routed.envelope.caller_left_s
+        left = self.routed.envelope.caller_timeout_s
         if left is None:
             left = self.routed.route.timeout_s
         return max(0.0, self.arrived + left - time.monotonic())
 
     def end(self, outcome: str, status: int, reason: str = "") -> None:
-        """Write the line; failures are kept before successes when there are too many."""
+        """Write the log line and update the metrics.
+
+        Failures have a log budget of their own, so that successes can't displace them.
+        """
         fields = self._fields()
         fields.update(outcome=outcome, status=status, ms=_ms(time.monotonic() - self.arrived))
         if reason:
@@ -55,11 +58,11 @@
         self._count(outcome)
 
     def _count(self, outcome: str) -> None:
-        team = self.routed.ledger_team if self.routed is not None else "-"
+        team = self.routed.accounting_team if self.routed is not None else "-"
         metrics.REQUESTS.labels(team, outcome).inc()
         prompt = self.routed.envelope.prompt if self.routed is not None else None
         if prompt is not None:
-            metrics.count_prompt(team, prompt.input_tokens, self.first_at is not None)
+            metrics.count_prompt_tokens(team, prompt.input_tokens, self.first_at is not None)
         metrics.REQUEST_TIME.labels(outcome).observe(time.monotonic() - self.arrived)
         if self.granted_at is not None:
             metrics.QUEUE_WAIT.observe(self.granted_at - self.arrived)
@@ -74,7 +77,7 @@
             return {"req": req_id, "method": self.head.method, "path": self.head.path[:80]}
         fields: dict[str, object] = {
             "req": routed.envelope.request_id,
-            "team": routed.ledger_team,
+            "team": routed.accounting_team,
             "route": routed.route.name,
             "service": routed.service,
             "text": routed.text_version,
@@ -83,8 +86,8 @@
         }
         prompt = routed.envelope.prompt
         if prompt is not None:
-            own = prompt.parts[-1].tokens if prompt.parts else 0
-            fields.update(part=prompt.affinity_key, input=prompt.input_tokens, own=own)
+            last_part_tokens = prompt.parts[-1].tokens if prompt.parts else 0
+            fields.update(part=prompt.affinity_key, input=prompt.input_tokens, own=last_part_tokens)
         if self.granted is not None:
             fields.update(
                 target=self.granted.target.id,
@@ -98,10 +101,10 @@
         if self.first_at is not None:
             fields["first_ms"] = _ms(self.first_at - self.arrived)
         if self.progress is not None:
-            fields.update(tries=self.progress.arrived, events=self.progress.events)
-            if self.progress.events:
+            fields.update(tries=self.progress.delivered_attempts, events=self.progress.event_count)
+            if self.progress.event_count:
                 gap_ms = _ms(routed.route.gap_s)
-                fields.update(pause_ms=_ms(self.progress.longest_pause_s), gap_ms=gap_ms)
+                fields.update(pause_ms=_ms(self.progress.max_pause_s), gap_ms=gap_ms)
         return fields
 
 
--- a/turmerictray/router/watch_config.py
+++ b/turmerictray/router/watch_config.py
@@ -100,7 +100,7 @@
         except urllib3.exceptions.HTTPError as exc:
             self._back_off(f"unreachable: {type(exc).__name__}")
             return
-        metrics.count_control("config", 200, len(resp.data) + 200)
+        metrics.count_control_bytes("config", 200, len(resp.data) + 200)
         if resp.status == 304:
             self.failures = 0
             self.placer.tell(ConfigConfirmed(self.last_revision, requested_at))
@@ -137,7 +137,7 @@
                 "peer_config_unreachable", level="WARNING", url=msg.url, reason=type(exc).__name__
             )
             return
-        metrics.count_control("config", 200, len(resp.data) + 200)
+        metrics.count_control_bytes("config", 200, len(resp.data) + 200)
         if resp.status == 200:
             log_event("peer_config_fetched", version=msg.version, url=msg.url)
             self.offer(resp.data)
@@ -186,7 +186,7 @@
                 )
             except urllib3.exceptions.HTTPError:
                 return
-            metrics.count_control("config", 200, len(resp.data) + 200)
+            metrics.count_control_bytes("config", 200, len(resp.data) + 200)
             if resp.status != 200:
                 return
             if is_valid_config(resp.data):
--- a/turmerictray/router/watch_instances.py
+++ b/turmerictray/router/watch_instances.py
@@ -62,7 +62,7 @@
             self.down = True
             return
         self.down = False
-        metrics.count_control("instances", 150, len(resp.data) + 150)
+        metrics.count_control_bytes("instances", 150, len(resp.data) + 150)
         states = {TargetId(inst.id): inst.state for inst in listing.instances}
         for ref in self.listeners:
             ref.tell(Listing(states))
--- a/turmerictray/router/watch_load.py
+++ b/turmerictray/router/watch_load.py
@@ -10,7 +10,7 @@
 import urllib3
 
 from turmerictray.core import metrics
-from turmerictray.core.actor import BackgroundActor, ask_in_time
+from turmerictray.core.actor import BackgroundActor, ask_with_timeout
 from turmerictray.core.ids import TargetId
 from turmerictray.core.timer import Tick
 from turmerictray.router.messages import LoadReport, TargetsQuery
@@ -48,7 +48,7 @@
     def on_receive(self, message: object) -> None:
         if not isinstance(message, Tick) or message.is_late():
             return
-        targets = ask_in_time(self.dispatcher, TargetsQuery(), _TARGETS_TIMEOUT_S)
+        targets = ask_with_timeout(self.dispatcher, TargetsQuery(), _TARGETS_TIMEOUT_S)
         for tid, url in targets or []:
             try:
                 resp = self.http.request(
@@ -57,6 +57,6 @@
                 figures = msgspec.json.decode(resp.data, type=LoadFigures)
             except (urllib3.exceptions.HTTPError, msgspec.DecodeError):
                 continue
-            metrics.count_control("load", 120, len(resp.data) + 120)
+            metrics.count_control_bytes("load", 120, len(resp.data) + 120)
             busy = figures.running + figures.waiting
             self.dispatcher.tell(LoadReport(TargetId(tid), busy, figures.age_s))
--- a/turmerictray/routing/pool_targets.py
+++ b/turmerictray/routing/pool_targets.py
@@ -80,7 +80,7 @@
             self.model = PoolModel(tokens_per_s / len(self.loads))
         self.spec = spec
         if spec.engine is not None:
-            self.model.fetch_per_s = spec.engine.fetch_per_s
+            self.model.fetch_per_s = spec.engine.fetch_tokens_per_s
             for load in self.loads.values():
                 load.prefix_cache.memory_tokens = int(
                     spec.engine.memory_tokens * _CACHE_MEMORY_FRACTION
--- a/turmerictray/scheduling/link.py
+++ b/turmerictray/scheduling/link.py
@@ -83,7 +83,7 @@
             # buffered messages, and without their `Ended` messages engines would be counted as
             # busy for seconds.
             return False
-        metrics.count_control("scheduling", len(data), 0)
+        metrics.count_control_bytes("scheduling", len(data), 0)
         return True
 
     def is_connected(self, address: str) -> bool:
--- a/turmerictray/transport/__init__.py
+++ b/turmerictray/transport/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP in and out: the front that callers speak to, connections to targets, relayed streams."""
+"""HTTP transport: the server for callers, connections to targets, and streamed answers."""
--- a/turmerictray/transport/admin.py
+++ b/turmerictray/transport/admin.py
@@ -10,17 +10,17 @@
 from turmerictray.core.errors import CallerError, CallerGone
 from turmerictray.core.logs import log_event
 from turmerictray.transport.exchange import ClientExchange, RequestHead
-from turmerictray.transport.heads import HeadDeadlines, StrictServerMixin
+from turmerictray.transport.strict_server import HeadDeadlines, StrictServerMixin
 
-_THREADS = 2
+_MIN_THREADS = 2
 
-_LIMITS = FrontLimits(body_bytes=64 << 10)
-"""Pages need no body; a small one is read and ignored."""
+_REQUEST_LIMITS = FrontLimits(body_bytes=64 << 10)
+"""Pages need no request body; a small one is read and discarded."""
 
 
 @dataclass(frozen=True)
 class Page:
-    """An answer of the admin server."""
+    """A page served by the admin server: status, body and content type."""
 
     status: int
     body: bytes
@@ -34,10 +34,10 @@
 
 class _PageGateway(Gateway):
     def respond(self) -> None:
-        """Answer with the page of the request's path."""
+        """Send the page that is registered for the request's path."""
         exchange = ClientExchange(self.req, lambda: False)
         try:
-            # Left unread, a body would be taken for the next request on the connection.
+            # An unread body would be parsed as the next request on the connection.
             exchange.read_body()
             page = self._page(exchange.head)
         except CallerError as exc:
@@ -53,29 +53,29 @@
 
 
 class _PageServer(StrictServerMixin, HTTPServer):
-    """Reads requests by the same strict rules as the callers' address."""
+    """HTTP server with the same strict request parsing as the callers' server."""
 
     def __init__(self, host: str, port: int, pages: dict[str, PageSource]) -> None:
-        super().__init__((host, port), _PageGateway, minthreads=_THREADS, maxthreads=4)
+        super().__init__((host, port), _PageGateway, minthreads=_MIN_THREADS, maxthreads=4)
         self.pages = pages
-        self.heads = HeadDeadlines()
+        self.head_deadlines = HeadDeadlines()
         self.shutdown_timeout = 1
-        self.apply_limits(_LIMITS)
+        self.apply_limits(_REQUEST_LIMITS)
 
     def error_log(self, msg: str = "", level: int = 20, traceback: bool = False) -> None:
-        """Write cheroot's own errors as structured events."""
+        """Log cheroot's own errors as structured events."""
         log_event("admin_server_error", level="WARNING", reason=msg.splitlines()[0][:200])
 
 
 class AdminServer:
-    """Serves pages by path.
+    """HTTP server for readiness checks, metrics and operators; serves pages by path.
 
     Parameters
     ----------
     host : str
     port : int
     pages : dict of str to callable
-        Path to the source of its page.
+        Maps each path to a function that returns its page.
     """
 
     def __init__(self, host: str, port: int, pages: dict[str, PageSource]) -> None:
@@ -90,6 +90,6 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop serving."""
+        """Stop serving and wait up to two seconds for the thread."""
         self._server.stop()
         self._thread.join(timeout=2)
--- a/turmerictray/transport/events.py
+++ b/turmerictray/transport/events.py
@@ -1,4 +1,4 @@
-"""Splitting a stream of server-sent events into whole events."""
+"""Splitting of a server-sent event stream into complete events."""
 
 from dataclasses import dataclass
 
@@ -6,19 +6,19 @@
 
 
 class EventTooLarge(ValueError):
-    """An event does not end within the size limit."""
+    """An event exceeds the size limit without ending."""
 
 
 @dataclass(frozen=True)
 class Event:
-    """One whole event.
+    """One complete server-sent event.
 
     Attributes
     ----------
     data : bytes
-        The event's bytes with the blank line that ends it.
+        The event's bytes, including the blank line that ends it.
     event_id : str or None
-        The value of its ``id`` field.
+        The value of the ``id`` field, or None if the event has none.
     """
 
     data: bytes
@@ -26,52 +26,53 @@
 
 
 class EventSplitter:
-    """Cuts the bytes of a stream at the ends of events.
+    """Incremental splitter of a byte stream into complete events.
 
-    Only whole events go on to a caller. When a target breaks off within an event, its first half
-    is dropped with the connection and the event comes whole from the target that goes on.
+    Only complete events are relayed to a caller. If a target fails in the middle of an event, the
+    incomplete event is dropped with the connection, and the target that continues the stream sends
+    the whole event again.
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._remainder = b""
 
     def feed(self, data: bytes) -> list[Event]:
-        """Take more bytes; returns the events that they complete.
+        """Append bytes of the stream and return the events that they complete.
 
         Raises
         ------
         EventTooLarge
             An unfinished event exceeds the size limit.
         """
-        self._rest += data
+        self._remainder += data
         events = []
         while True:
-            end = _event_end(self._rest)
+            end = _find_event_end(self._remainder)
             if end < 0:
                 break
-            events.append(_event(self._rest[:end]))
-            self._rest = self._rest[end:]
-        if len(self._rest) > _MAX_EVENT_BYTES:
-            raise EventTooLarge(f"an event is over {_MAX_EVENT_BYTES} bytes")
+            events.append(_parse_event(self._remainder[:end]))
+            self._remainder = self._remainder[end:]
+        if len(self._remainder) > _MAX_EVENT_BYTES:
+            raise EventTooLarge(f"event exceeds {_MAX_EVENT_BYTES} bytes")
         return events
 
     @property
     def rest(self) -> bytes:
-        """Bytes after the last whole event."""
-        return self._rest
+        """Bytes received after the last complete event."""
+        return self._remainder
 
 
-def _event_end(data: bytes) -> int:
-    """Index after the first blank line, or -1."""
+def _find_event_end(data: bytes) -> int:
+    """Return the index just after the first blank line, or -1 if there is none."""
     ends = []
-    for mark in (b"\n\n", b"\r\n\r\n"):
-        at = data.find(mark)
-        if at >= 0:
-            ends.append(at + len(mark))
+    for separator in (b"\n\n", b"\r\n\r\n"):
+        index = data.find(separator)
+        if index >= 0:
+            ends.append(index + len(separator))
     return min(ends, default=-1)
 
 
-def _event(data: bytes) -> Event:
+def _parse_event(data: bytes) -> Event:
     event_id = None
     for line in data.splitlines():
         if line.startswith(b"id:"):
--- a/turmerictray/transport/exchange.py
+++ b/turmerictray/transport/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller and its answer, on the caller's connection."""
+"""One request of a caller and its answer on the caller's connection."""
 
 import socket
 import time
@@ -25,23 +25,24 @@
         "expect",
     }
 )
-"""Headers that concern one connection only (RFC 9110, section 7.6.1), in lower case."""
+"""Header names that apply to a single connection (RFC 9110, section 7.6.1), in lower case."""
 
-_WRITE_STALL_S = 5.0
-"""A caller that takes no byte for this long is treated as gone; a router that went on waiting
-would keep the target's slot for an answer that nobody reads."""
+_WRITE_TIMEOUT_S = 5.0
+"""A caller that accepts no data for this long counts as disconnected; otherwise an answer that is
+never read would keep the target's slot occupied."""
 
 Header = tuple[str, str]
 
 
 @dataclass(frozen=True)
 class RequestHead:
-    """The head of a request as the caller sent it.
+    """Method, target and headers of a request as the caller sent them.
 
     Attributes
     ----------
-    method, target : str
-        ``target`` is the raw request target, not decoded.
+    method : str
+    target : str
+        The raw request target, not decoded.
     headers : dict of str to str
         Names in title case.
     """
@@ -52,54 +53,65 @@
 
     @property
     def path(self) -> str:
-        """The raw path of the target, without its query."""
+        """The raw path of the target, without the query."""
         return self.target.partition("?")[0]
 
     @property
     def host(self) -> str:
-        """The host, in lower case and without a port."""
+        """The value of the Host header in lower case, without a port."""
         return self.headers.get("Host", "").lower().rpartition("@")[2].partition(":")[0]
 
     def end_to_end_headers(self) -> list[Header]:
-        """Headers that may be passed on: none that concern only this connection."""
-        named = {name.strip().lower() for name in self.headers.get("Connection", "").split(",")}
-        dropped = HOP_BY_HOP | named | {"content-length"}
+        """Return the headers that may be forwarded, without those of this connection only."""
+        connection_headers = {
+            name.strip().lower() for name in self.headers.get("Connection", "").split(",")
+        }
+        dropped = HOP_BY_HOP | connection_headers | {"content-length"}
         return [(name, val) for name, val in self.headers.items() if name.lower() not in dropped]
 
 
 class ClientExchange:
-    """Reads one request and writes one answer.
+    """Reads the body of one request and writes its answer.
 
     Parameters
     ----------
     req : cheroot.server.HTTPRequest
         A request whose head has been read.
-    draining : callable
-        Whether the router is shutting down, so that answers close their connections.
+    is_draining : callable
+        Returns whether the router is shutting down, in which case answers close their connections.
+
+    Attributes
+    ----------
+    arrived_at : float
+        Monotonic time at which the head had been read.
+    answer_started : bool
+        Whether sending of the answer has begun.
+    status : int
+        The status of the answer; 0 before it has begun.
     """
 
-    def __init__(self, req: HTTPRequest, draining) -> None:
+    def __init__(self, req: HTTPRequest, is_draining) -> None:
         self._req = req
-        self._draining = draining
-        self.arrived = time.monotonic()
+        self._is_draining = is_draining
+        self.arrived_at = time.monotonic()
         headers = {
             name.decode("latin-1"): val.decode("latin-1") for name, val in req.inheaders.items()
         }
         self.head = RequestHead(req.method.decode("latin-1"), req.uri.decode("latin-1"), headers)
-        self.started = False
+        self.answer_started = False
         self.status = 0
 
     @property
     def sock(self) -> socket.socket:
-        """The caller's connection."""
+        """The socket of the caller's connection."""
         return self._req.conn.socket
 
     def finish_reading(self) -> None:
-        """The request waits for others from now on; the server may read another one meanwhile."""
+        """Let the server read another request; this one now waits for a target."""
         self._req.server.finish_reading(self._req.conn)
 
     def read_body(self) -> bytes:
-        """The whole body.
+        """Read and return the whole body.
 
         Raises
         ------
@@ -115,10 +127,10 @@
             raise CallerError(f"body too large: {exc}", 413) from exc
         except ValueError as exc:
             self._req.close_connection = True
-            raise CallerError(f"body is malformed: {exc}") from exc
+            raise CallerError(f"malformed body: {exc}") from exc
         except OSError as exc:
             self._req.close_connection = True
-            raise CallerGone(f"body not read: {exc}") from exc
+            raise CallerGone(f"could not read the body: {exc}") from exc
 
     def _read_body(self) -> bytes:
         rfile = self._req.rfile
@@ -126,66 +138,66 @@
             length = int(self._req.inheaders.get(b"Content-Length", 0))
             data = rfile.read(length) if length else b""
             if len(data) < length:
-                raise ConnectionResetError("body ended early")
+                raise ConnectionResetError("connection closed before the end of the body")
             return data
         data = rfile.read()
-        # The trailer section is part of the body: left unread, its bytes would be taken as the
-        # next request on this connection.
+        # The trailer section belongs to the body. Left unread, it would be parsed as the next
+        # request on this connection.
         for _ in rfile.read_trailer_lines():
             pass
         return data
 
     def answer(self, status: int, headers: Iterable[Header], body: bytes) -> None:
-        """Send a whole answer.
+        """Send a complete answer: head and body.
 
         Raises
         ------
         CallerGone
             The caller's connection broke.
         """
-        self._begin(status, [*headers, ("Content-Length", str(len(body)))])
+        self._send_head(status, [*headers, ("Content-Length", str(len(body)))])
         if body and self._req.method != b"HEAD":
             self._write(body)
 
     def start_stream(self, status: int, headers: Iterable[Header]) -> None:
-        """Send the head of an answer whose body comes in pieces."""
-        self._begin(status, headers)
+        """Send the head of an answer whose body is streamed; raises :class:`CallerGone`."""
+        self._send_head(status, headers)
 
     def send(self, data: bytes) -> None:
-        """Send one piece of a streamed body; raises :class:`CallerGone`."""
+        """Send part of a streamed body; raises :class:`CallerGone`."""
         self._write(data)
 
     def abort(self) -> None:
-        """End the answer so that it can't look complete: close without the last chunk."""
+        """Close the connection without the last chunk, so that the answer is seen as incomplete."""
         self._req.chunked_write = False
         self._req.close_connection = True
-        # Without a head, the server would try to send one of its own, with a status that was never
-        # set, and then a 500 to a caller who may still be reading.
+        # Otherwise cheroot would send a head of its own if none was sent: with a status that was
+        # never set, and then a 500 to a caller that may still be reading.
         self._req.sent_headers = True
 
-    def _begin(self, status: int, headers: Iterable[Header]) -> None:
-        self.started = True
+    def _send_head(self, status: int, headers: Iterable[Header]) -> None:
+        self.answer_started = True
         self.status = status
         req = self._req
-        if self._draining():
+        if self._is_draining():
             req.close_connection = True
         req.status = f"{status} {_phrase(status)}".encode("latin-1")
         req.outheaders = [(name.encode("latin-1"), val.encode("latin-1")) for name, val in headers]
-        self.sock.settimeout(_WRITE_STALL_S)
+        self.sock.settimeout(_WRITE_TIMEOUT_S)
         try:
             req.ensure_headers_sent()
         except OSError as exc:
-            raise self._gone(exc) from exc
+            raise self._caller_gone(exc) from exc
 
     def _write(self, data: bytes) -> None:
         try:
             self._req.write(data)
         except OSError as exc:
-            raise self._gone(exc) from exc
+            raise self._caller_gone(exc) from exc
 
-    def _gone(self, exc: OSError) -> CallerGone:
+    def _caller_gone(self, exc: OSError) -> CallerGone:
         self.abort()
-        return CallerGone(f"answer not sent: {exc}")
+        return CallerGone(f"could not send the answer: {exc}")
 
 
 def _phrase(status: int) -> str:
--- a/turmerictray/transport/framing.py
+++ b/turmerictray/transport/framing.py
@@ -1,36 +1,36 @@
-"""Strict reading of request heads.
+"""Strict parsing of request framing.
 
-A request that two parsers could take apart differently is refused: what one takes as the rest of
-a body the other takes as a second request, and its answer goes to the wrong caller. The rules are
-those of RFC 9112, sections 6.1 and 6.3.
+A request that two parsers could delimit differently is refused, to prevent request smuggling: bytes
+that one parser reads as the rest of a body are a second request for the other, whose answer goes to
+the wrong caller. The rules are those of RFC 9112, sections 6.1 and 6.3.
 """
 
 import re
 
 from cheroot.server import HeaderReader, HTTPRequest
 
-_NAME = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
+_HEADER_NAME = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
 _DIGITS = re.compile(rb"[0-9]{1,15}")
-_CHUNK_HEAD = re.compile(rb"([0-9A-Fa-f]{1,8})(?:[ \t]*;[^\x00-\x08\x0a-\x1f\x7f]*)?\r\n")
-"""The size of a chunk, at most 4 GB, and extensions, which are ignored (RFC 9112, section 7.1)."""
+_CHUNK_HEADER = re.compile(rb"([0-9A-Fa-f]{1,8})(?:[ \t]*;[^\x00-\x08\x0a-\x1f\x7f]*)?\r\n")
+"""A chunk's size, below 4 GiB, and its extensions, which are ignored (RFC 9112, section 7.1)."""
 
-_LONGEST_CHUNK_HEAD = 256
-"""Bytes; extensions are rare and short. A longer line is refused before it is read whole."""
+_MAX_CHUNK_HEADER_BYTES = 256
+"""A longer line is refused before it is read in full; extensions are rare and short."""
 
-_ABSENT = b""
+_MISSING = b""
 _CONTINUE = b"100-continue"
-_FRAMING = (b"Content-Length", b"Transfer-Encoding", b"Host")
+_SINGLE_VALUE_HEADERS = (b"Content-Length", b"Transfer-Encoding", b"Host")
 
 
 class FramingError(ValueError):
-    """The head of a request is malformed or ambiguous."""
+    """The framing of a request is malformed or ambiguous."""
 
 
 class StrictHeaderReader(HeaderReader):
-    """Reads header lines into a dict and refuses what is ambiguous.
+    """Reads header lines into a dict and refuses ambiguous ones.
 
-    A header that repeats is joined by commas, except the ones that frame the message or name its
-    host, which may come once. Names keep their case folded to title case, as cheroot expects.
+    The values of a repeated header are joined by commas. Content-Length, Transfer-Encoding and Host
+    may appear only once. Names are converted to title case, as cheroot expects.
     """
 
     def __call__(self, rfile, hdict: dict | None = None) -> dict:
@@ -41,8 +41,8 @@
                 break
             name, value = _split_line(line)
             if name in headers:
-                if name in _FRAMING:
-                    raise FramingError(f"{name.decode()} is given twice")
+                if name in _SINGLE_VALUE_HEADERS:
+                    raise FramingError(f"duplicate {name.decode()} header")
                 value = headers[name] + b", " + value
             headers[name] = value
         _check_body_framing(headers)
@@ -51,14 +51,14 @@
 
 def _split_line(line: bytes) -> tuple[bytes, bytes]:
     if not line.endswith(b"\r\n"):
-        raise FramingError("a header line does not end with CRLF")
+        raise FramingError("header line does not end with CRLF")
     name, colon, value = line[:-2].partition(b":")
-    # A space before the colon and a folded line are read differently by different parsers.
-    if not colon or not _NAME.fullmatch(name):
-        raise FramingError("a header line has no valid name")
+    # Parsers disagree on a space before the colon and on folded lines.
+    if not colon or not _HEADER_NAME.fullmatch(name):
+        raise FramingError("header line has no valid name")
     value = value.strip(b" \t")
     if b"\r" in value or b"\n" in value or b"\0" in value:
-        raise FramingError("a header value holds a control character")
+        raise FramingError("header value contains CR, LF or NUL")
     return name.title(), value
 
 
@@ -66,19 +66,19 @@
     length = headers.get(b"Content-Length")
     coding = headers.get(b"Transfer-Encoding")
     if length is not None and coding is not None:
-        raise FramingError("both Content-Length and Transfer-Encoding are given")
+        raise FramingError("both Content-Length and Transfer-Encoding are present")
     if length is not None and not _DIGITS.fullmatch(length):
-        raise FramingError("Content-Length is not a number")
+        raise FramingError("Content-Length is not a decimal number")
     if coding is not None and coding.lower() != b"chunked":
-        raise FramingError("Transfer-Encoding is not chunked")
+        raise FramingError("unsupported Transfer-Encoding; only chunked is accepted")
 
 
-class _CheckedChunkHeads:
-    """The lines of a chunked body, of which those that head a chunk are checked.
+class _StrictChunkReader:
+    """File wrapper that validates the header line of each chunk of a chunked body.
 
-    cheroot takes a chunk's size by :func:`int`, which accepts signs, ``0x``, underscores and
-    blanks, and takes a size below zero for the end of the body: what follows would be read as the
-    next request on the connection.
+    cheroot parses a chunk's size with :func:`int`, which accepts signs, ``0x``, underscores
+    and blanks, and treats a negative size as the end of the body. The bytes that follow
+    would then be parsed as the next request on the connection.
     """
 
     def __init__(self, rfile) -> None:
@@ -86,61 +86,61 @@
         self._in_trailer = False
 
     def readline(self, size: int | None = None) -> bytes:
-        """The next line: a chunk's head, or a line of the trailer section after the last chunk."""
+        """Read a chunk's header line, or a line of the trailer section after the last chunk."""
         if self._in_trailer:
             return self._rfile.readline(size)
-        line = self._rfile.readline(_LONGEST_CHUNK_HEAD)
-        match = _CHUNK_HEAD.fullmatch(line)
+        line = self._rfile.readline(_MAX_CHUNK_HEADER_BYTES)
+        match = _CHUNK_HEADER.fullmatch(line)
         if match is None:
-            raise FramingError("a chunk has no valid size")
+            raise FramingError("chunk has no valid size")
         self._in_trailer = int(match[1], 16) == 0
         return line
 
     def read(self, size: int) -> bytes:
-        """Bytes of a chunk."""
+        """Read ``size`` bytes of a chunk."""
         data = self._rfile.read(size)
         if len(data) < size:
-            raise FramingError("a chunk ended early")
+            raise FramingError("connection closed within a chunk")
         return data
 
     def close(self) -> None:
-        """Close the connection's file."""
+        """Close the wrapped file."""
         self._rfile.close()
 
 
 class StrictRequest(HTTPRequest):
-    """A request whose framing errors end the connection."""
+    """A request whose framing errors close the connection."""
 
     header_reader = StrictHeaderReader()
 
     def respond(self) -> None:
-        """Read a chunked body by strict rules, whichever server handles the request."""
+        """Handle the request, with strict parsing of a chunked body."""
         if not self.chunked_read:
             super().respond()
             return
-        plain = self.conn.rfile
-        self.conn.rfile = _CheckedChunkHeads(plain)
+        rfile = self.conn.rfile
+        self.conn.rfile = _StrictChunkReader(rfile)
         try:
             super().respond()
         finally:
-            self.conn.rfile = plain
+            self.conn.rfile = rfile
 
     def parse_request(self) -> None:
-        """Read the head; ``ready`` is false when it was refused."""
+        """Read the head and set ``ready`` to false if it is refused."""
         super().parse_request()
         if not self.ready:
             self.close_connection = True
             return
         if self.response_protocol == "HTTP/1.0" and b"Transfer-Encoding" in self.inheaders:
-            self._refuse("Transfer-Encoding in HTTP/1.0")
+            self._refuse("Transfer-Encoding is not allowed in HTTP/1.0")
             return
         if self.response_protocol == "HTTP/1.1" and b"Host" not in self.inheaders:
-            self._refuse("Host is missing")
+            self._refuse("missing Host header")
             return
         if self.inheaders.get(b"Expect", _CONTINUE).lower() != _CONTINUE:
             self._refuse("Expect is not 100-continue", "417 Expectation Failed")
             return
-        connection = self.inheaders.get(b"Connection", _ABSENT).lower()
+        connection = self.inheaders.get(b"Connection", _MISSING).lower()
         if b"close" in [token.strip() for token in connection.split(b",")]:
             self.close_connection = True
 
--- a/turmerictray/transport/pool.py
+++ b/turmerictray/transport/pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to targets, kept for the next request."""
+"""Pool of idle connections to targets."""
 
 import threading
 import time
@@ -6,29 +6,32 @@
 
 from turmerictray.transport.target_conn import AnswerHead, TargetConnection
 
-_MARGIN_S = 0.7
-"""Before a target's idle limit; covers a limit rounded up to whole seconds and a round trip."""
+_IDLE_LIMIT_MARGIN_S = 0.7
+"""Connections this close to their target's idle limit are not used.
 
-_DEFAULT_IDLE_S = 4.0
-"""Idle limit of targets that name none; common servers close after five seconds."""
+Covers a limit that was rounded up to whole seconds, and a round trip.
+"""
 
-_MOST_IDLE = 64
-"""Idle connections kept for one target; the most that one engine's batch can need."""
+_DEFAULT_IDLE_LIMIT_S = 4.0
+"""Idle limit of targets that announce none; common servers close after five seconds."""
+
+_MAX_IDLE_PER_TARGET = 64
+"""As many connections as one engine's batch can need."""
 
 
 class ConnectionPool:
-    """Keeps idle connections by target; the one used last is taken first.
+    """Pool of idle connections by target; the most recently used one is reused first.
 
-    Taking the youngest lets the rest run into their idle limit, so that after a peak only as many
-    connections stay open as the load needs, and the targets' connection limits are shared.
+    The other connections then reach their idle limit. After a peak only as many connections stay
+    open as the load needs, which leaves room in the targets' connection limits for other routers.
     """
 
     def __init__(self) -> None:
         self._idle: dict[str, deque[TargetConnection]] = {}
         self._lock = threading.Lock()
 
-    def take(self, target: str, address: str, connect_s: float) -> TargetConnection:
-        """An idle connection to ``target``, or a new one.
+    def acquire(self, target: str, address: str, connect_s: float) -> TargetConnection:
+        """Return an idle connection to ``target``, or open a new one.
 
         Raises
         ------
@@ -36,13 +39,24 @@
             A new connection could not be opened.
         """
         while (conn := self._pop(target)) is not None:
-            if conn.address == address and conn.is_fresh(_MARGIN_S, _DEFAULT_IDLE_S):
+            if conn.address == address and conn.is_usable(
+                _IDLE_LIMIT_MARGIN_S, _DEFAULT_IDLE_LIMIT_S
+            ):
                 return conn
             conn.close()
         return TargetConnection(address, connect_s)
 
-    def give_back(self, target: str, conn: TargetConnection, head: AnswerHead) -> None:
-        """Keep a connection whose answer has been read, or close it if it can't be used again."""
+    def release(self, target: str, conn: TargetConnection, head: AnswerHead) -> None:
+        """Return a connection to the pool, or close it if it can't be reused.
+
+        Parameters
+        ----------
+        target : str
+        conn : TargetConnection
+            A connection whose answer has been read.
+        head : AnswerHead
+            The head of that answer, which may announce the target's idle limit.
+        """
         if not conn.is_reusable():
             conn.close()
             return
@@ -51,25 +65,28 @@
         with self._lock:
             idle = self._idle.setdefault(target, deque())
             idle.append(conn)
-            oldest = idle.popleft() if len(idle) > _MOST_IDLE else None
+            oldest = idle.popleft() if len(idle) > _MAX_IDLE_PER_TARGET else None
         if oldest is not None:
             oldest.close()
 
     def close_expired(self) -> None:
-        """Close connections that are past their target's idle limit and won't be taken again.
+        """Close connections that have exceeded their target's idle limit.
 
-        A target that is gone is never asked for, so nothing else would close its connections.
+        :meth:`acquire` is never called for a target that no longer exists, so nothing else would
+        close its connections.
         """
         with self._lock:
             expired = [
-                conn for conn in self._all() if conn.idle_s() > conn.limit_s(_DEFAULT_IDLE_S)
+                conn
+                for conn in self._all()
+                if conn.idle_s() > conn.effective_idle_limit_s(_DEFAULT_IDLE_LIMIT_S)
             ]
-            self._drop(expired)
+            self._remove(expired)
         for conn in expired:
             conn.close()
 
     def idle_count(self) -> int:
-        """Idle connections kept now."""
+        """Return the number of idle connections."""
         with self._lock:
             return len(self._all())
 
@@ -84,10 +101,12 @@
     def _all(self) -> list[TargetConnection]:
         return [conn for idle in self._idle.values() for conn in idle]
 
-    def _drop(self, conns: list[TargetConnection]) -> None:
-        dropped = set(conns)
-        kept = {t: deque(c for c in idle if c not in dropped) for t, idle in self._idle.items()}
-        self._idle = {target: idle for target, idle in kept.items() if idle}
+    def _remove(self, conns: list[TargetConnection]) -> None:
+        removed = set(conns)
+        remaining = {
+            t: deque(c for c in idle if c not in removed) for t, idle in self._idle.items()
+        }
+        self._idle = {target: idle for target, idle in remaining.items() if idle}
 
     def _pop(self, target: str) -> TargetConnection | None:
         with self._lock:
--- a/turmerictray/transport/server.py
+++ b/turmerictray/transport/server.py
@@ -10,54 +10,61 @@
 
 from turmerictray.config.routes import FrontLimits
 from turmerictray.core.logs import log_event
-from turmerictray.transport.early import answered_early, is_whole, peek
 from turmerictray.transport.exchange import ClientExchange, RequestHead
-from turmerictray.transport.heads import HeadDeadlines, StrictServerMixin
+from turmerictray.transport.fast_path import is_complete_request, peek_received, try_fast_path
+from turmerictray.transport.strict_server import HeadDeadlines, StrictServerMixin
 from turmerictray.transport.threads import GrowingThreadPool
 
-_IDLE_SLACK = 1.2
-"""An idle connection is kept this much longer than the limit allows, so that it is the caller
-who closes first: closing at the same moment would lose a request that is on its way."""
+_IDLE_TIMEOUT_FACTOR = 1.2
+"""Multiple of the idle limit after which the server closes an idle connection.
 
-_BACKLOG = 1024
+The caller should close first: if the server closed at the same moment, a request on its way would
+be lost.
+"""
+
+_LISTEN_BACKLOG = 1024
 
 Handler = Callable[[ClientExchange], None]
 
 
-class EarlyAnswers(Protocol):
-    """Says which requests are answered by their head alone.
+class FastPath(Protocol):
+    """Decides which requests are answered from their head alone.
 
-    ``unread_s`` is how long requests wait to be read now: what the router can't keep up with.
+    ``read_delay_s`` is the time that requests currently wait until they are read; it grows when the
+    router can't keep up with incoming requests.
     """
 
-    def is_active(self, unread_s: float) -> bool:
-        """Whether there may be any now; while there are none, heads are not looked at twice."""
+    def is_active(self, read_delay_s: float) -> bool:
+        """Return whether any request may be answered now.
+
+        If not, the server skips the additional parsing of heads.
+        """
 
-    def answer(self, head: RequestHead, unread_s: float) -> bytes | None:
-        """The whole answer, after which the connection is closed; None to serve the request."""
+    def answer(self, head: RequestHead, read_delay_s: float) -> bytes | None:
+        """Return the encoded answer, after which the connection is closed; None to serve it."""
 
 
-class _NoEarlyAnswers:
-    def is_active(self, unread_s: float) -> bool:
+class _NoFastPath:
+    def is_active(self, read_delay_s: float) -> bool:
         return False
 
-    def answer(self, head: RequestHead, unread_s: float) -> bytes | None:
+    def answer(self, head: RequestHead, read_delay_s: float) -> bytes | None:
         return None
 
 
-class _Accepted:
-    """A connection that has been accepted, in place of the socket that it would come from."""
+class _AcceptedSocket:
+    """Stands in for the listening socket, to hand cheroot a connection that is accepted already."""
 
     def __init__(self, sock: socket.socket, addr: tuple[str, int]) -> None:
-        self._accepted = sock, addr
+        self._connection = sock, addr
 
     def accept(self) -> tuple[socket.socket, tuple[str, int]]:
-        """The connection and its caller's address."""
-        return self._accepted
+        """Return the accepted connection and its caller's address."""
+        return self._connection
 
 
 class _ExchangeGateway(Gateway):
-    """Passes cheroot's request on to the handler."""
+    """Passes each of cheroot's requests to the handler."""
 
     def respond(self) -> None:
         """Handle the request."""
@@ -70,82 +77,85 @@
     version = "turmerictray"
 
     def __init__(
-        self, host: str, port: int, handler: Handler, threads: int, early: EarlyAnswers
+        self, host: str, port: int, handler: Handler, threads: int, fast_path: FastPath
     ) -> None:
         super().__init__((host, port), _ExchangeGateway)
-        self.requests = GrowingThreadPool(self, threads, self._is_done)
+        self.requests = GrowingThreadPool(self, threads, self._answer_on_fast_path)
         self.handler = handler
-        self.early = early
-        self.heads = HeadDeadlines()
+        self.fast_path = fast_path
+        self.head_deadlines = HeadDeadlines()
         self.draining = False
         self.server_name = "turmerictray"
-        self.request_queue_size = _BACKLOG
+        self.request_queue_size = _LISTEN_BACKLOG
         self.shutdown_timeout = 1
 
     def is_draining(self) -> bool:
-        """Whether answers should close their connections."""
+        """Return whether connections are to be closed after their next answer."""
         return self.draining
 
-    def take_new(self, conn: HTTPConnection) -> None:
-        """Let a fresh connection wait in the selector like an idle one.
+    def add_new_connection(self, conn: HTTPConnection) -> None:
+        """Register a new connection with the selector, like an idle one.
 
-        Handed to a thread at once, a caller that connects and sends nothing would hold that
-        thread.
+        If it were handed to a thread at once, a caller that connects and sends nothing would
+        occupy that thread.
         """
         self._connections.put(conn)
 
     def process_conn(self, conn: HTTPConnection) -> None:
-        """Hand on a connection that is new or has something to read."""
+        """Process a connection that is new or has data to read."""
         if conn.last_used is None:
             super().process_conn(conn)
             return
-        data = None if conn.rfile.has_data() else peek(conn.socket)
+        data = None if conn.rfile.has_data() else peek_received(conn.socket)
         if data == b"":
-            # The caller has closed a connection that was kept open.
+            # The caller has closed an idle connection.
             conn.close()
-        elif is_whole(data):
-            self.requests.put_in_turn(conn)
+        elif is_complete_request(data):
+            self.requests.queue_for_reading(conn)
         else:
-            # Whoever sends slowly holds a thread, but must not hold a turn.
+            # A slow sender occupies a thread, but must not occupy a read slot.
             self.requests.put(conn)
 
-    def _is_done(self, conn: HTTPConnection, waited_s: float) -> bool:
-        """Answer a connection's request early, if it can be."""
-        if not self._answers_early(conn.socket, waited_s):
+    def _answer_on_fast_path(self, conn: HTTPConnection, waited_s: float) -> bool:
+        """Answer a connection's request on the fast path if possible, and close the connection."""
+        if not self._try_fast_path(conn.socket, waited_s):
             return False
         conn.close()
         return True
 
-    def _answers_early(self, sock: socket.socket, unread_s: float) -> bool:
-        if not self.early.is_active(unread_s):
+    def _try_fast_path(self, sock: socket.socket, read_delay_s: float) -> bool:
+        if not self.fast_path.is_active(read_delay_s):
             return False
-        return answered_early(sock, partial(self.early.answer, unread_s=unread_s))
+        return try_fast_path(sock, partial(self.fast_path.answer, read_delay_s=read_delay_s))
 
-    def accept_one(self) -> None:
-        """Accept a connection, which in a flood mostly has its request with it."""
+    def accept_connection(self) -> None:
+        """Accept a connection and try the fast path.
+
+        Under heavy load the request has usually arrived by the time of the accept.
+        """
         try:
             sock, addr = self.socket.accept()
         except OSError as exc:
             log_event("accept_failed", level="DEBUG", exc=exc)
             return
-        if self._answers_early(sock, self.requests.turns.delay_s()):
+        if self._try_fast_path(sock, self.requests.read_limiter.queue_delay_s()):
             sock.close()
             return
-        conn = self._connections._from_server_socket(_Accepted(sock, addr))
+        conn = self._connections._from_server_socket(_AcceptedSocket(sock, addr))
         if conn is not None:
-            self.take_new(conn)
+            self.add_new_connection(conn)
 
     def finish_reading(self, conn: HTTPConnection) -> None:
-        """Let another request be read."""
-        self.requests.turns.give_back(conn)
+        """Free the connection's read slot for another request."""
+        self.requests.read_limiter.release(conn)
 
     def error_log(self, msg: str = "", level: int = 20, traceback: bool = False) -> None:
-        """Write cheroot's own errors as structured events."""
+        """Log cheroot's own errors as structured events."""
         log_event("http_server_error", level="WARNING", reason=msg.splitlines()[0][:200])
 
 
 class FrontServer:
-    """The server as a component of the application.
+    """The callers' HTTP server as an application component.
 
     Parameters
     ----------
@@ -154,9 +164,9 @@
     handler : callable
         Called with each request, on one of the server's threads.
     threads : int
-        Requests handled at once, at most.
-    early : EarlyAnswers or None
-        Requests that are answered without a thread; None for none.
+        Maximum number of requests handled at the same time.
+    fast_path : FastPath or None
+        Answers requests without a worker thread; None to serve all requests normally.
     """
 
     def __init__(
@@ -165,15 +175,15 @@
         port: int,
         handler: Handler,
         threads: int,
-        early: EarlyAnswers | None = None,
+        fast_path: FastPath | None = None,
     ) -> None:
-        self._server = _Server(host, port, handler, threads, early or _NoEarlyAnswers())
+        self._server = _Server(host, port, handler, threads, fast_path or _NoFastPath())
         self._thread = threading.Thread(target=self._serve, name=f"front-{port}", daemon=True)
         self.apply_limits(FrontLimits())
 
     def apply_limits(self, limits: FrontLimits) -> None:
-        """Put new bounds in force for the requests that come next."""
-        self._server.apply_limits(limits, _IDLE_SLACK)
+        """Apply new limits to the requests that follow."""
+        self._server.apply_limits(limits, _IDLE_TIMEOUT_FACTOR)
 
     def start(self) -> None:
         """Bind the port and serve on a background thread."""
@@ -187,13 +197,13 @@
         self._server.draining = True
 
     def stop(self) -> None:
-        """Stop accepting; requests in progress get a short time to end."""
+        """Stop accepting; requests in progress get a short time to finish."""
         self._server.stop()
         self._thread.join(timeout=2)
 
     def close_slow_heads(self) -> None:
-        """End connections whose request head takes longer than the limit allows."""
-        self._server.heads.close_overdue(self._server.front_limits.header_timeout_s)
+        """Stop reading from connections whose request head takes longer than the limit."""
+        self._server.head_deadlines.close_overdue(self._server.front_limits.header_timeout_s)
 
     def _serve(self) -> None:
         self._server.serve()
--- /dev/null
+++ b/turmerictray/transport/strict_server.py
@@ -0,0 +1,144 @@
+"""cheroot connections and server mixin with strict framing and a time limit for request heads."""
+
+import select
+import socket
+import threading
+import time
+
+from cheroot.server import HTTPConnection
+
+from turmerictray.config.routes import FrontLimits
+from turmerictray.core.logs import log_event
+from turmerictray.transport.framing import StrictRequest
+
+_READ_TIMEOUT_MARGIN_S = 0.5
+"""Added to the time limit of a single read to get the time limit of a whole head.
+
+A caller that has stopped sending gets a 408 when the read times out. If the head's limit expired at
+the same time, the caller might get a 400 instead, as if its head were malformed.
+"""
+
+_MAX_ACCEPTS_PER_ITERATION = 64
+"""Connections accepted in one iteration of the server's loop; bounded so that a flood of new
+connections doesn't delay the open ones."""
+
+
+class HeadDeadlines:
+    """Time limit for whole request heads.
+
+    A caller that sends one byte at a time never reaches the time limit of a single read, and
+    without this limit could occupy a thread indefinitely.
+    """
+
+    def __init__(self) -> None:
+        self._started_at: dict[HTTPConnection, float] = {}
+        self._lock = threading.Lock()
+
+    def begin(self, conn: HTTPConnection) -> None:
+        """Start the time limit of the connection's next request head."""
+        with self._lock:
+            self._started_at[conn] = time.monotonic()
+
+    def end(self, conn: HTTPConnection) -> None:
+        """End the time limit: the head has arrived, or the connection is closed."""
+        with self._lock:
+            self._started_at.pop(conn, None)
+
+    def close_overdue(self, limit_s: float) -> None:
+        """Stop reading from connections whose head has taken more than ``limit_s`` seconds."""
+        cutoff = time.monotonic() - limit_s - _READ_TIMEOUT_MARGIN_S
+        with self._lock:
+            overdue = [conn for conn, started_at in self._started_at.items() if started_at < cutoff]
+            for conn in overdue:
+                del self._started_at[conn]
+        for conn in overdue:
+            _stop_reading(conn)
+
+
+def _stop_reading(conn: HTTPConnection) -> None:
+    try:
+        conn.socket.shutdown(socket.SHUT_RD)
+    except OSError as exc:
+        log_event("slow_head_already_closed", level="DEBUG", exc=exc)
+
+
+class _TimedRequest(StrictRequest):
+    """A request that ends its head's time limit once the head is read."""
+
+    def parse_request(self) -> None:
+        """Read the head."""
+        super().parse_request()
+        self.server.head_deadlines.end(self.conn)
+
+
+class StrictConnection(HTTPConnection):
+    """A caller's connection with strict framing and a time limit for each request head."""
+
+    RequestHandlerClass = _TimedRequest
+
+    def communicate(self) -> bool:
+        """Serve one request; return whether the connection is kept open."""
+        self.socket.settimeout(self.server.front_limits.header_timeout_s)
+        self.server.head_deadlines.begin(self)
+        try:
+            return super().communicate()
+        finally:
+            self.server.head_deadlines.end(self)
+            self.server.finish_reading(self)
+
+
+class StrictServerMixin:
+    """Mixin for a cheroot server that uses :class:`StrictConnection`.
+
+    The server must set ``head_deadlines`` and call :meth:`apply_limits` before it starts.
+    """
+
+    ConnectionClass = StrictConnection
+    keep_alive_conn_limit = 3000
+    """Limit of idle connections; cheroot's default of ten would close nearly all of them."""
+
+    def process_conn(self, conn: HTTPConnection) -> None:
+        """Process a connection that is new or has data to read."""
+        if conn.last_used is not None:
+            super().process_conn(conn)
+            return
+        self.add_new_connection(conn)
+        self._accept_pending()
+
+    def add_new_connection(self, conn: HTTPConnection) -> None:
+        """Process a connection that has just been accepted."""
+        super().process_conn(conn)
+
+    def finish_reading(self, conn: HTTPConnection) -> None:
+        """Hook: a connection's request has been read and decided on, or has ended."""
+
+    def _accept_pending(self) -> None:
+        # cheroot's loop accepts one connection per iteration, and an iteration handles every open
+        # connection that has a request. During a flood on open connections, each new caller would
+        # otherwise wait one more iteration.
+        poller = select.poll()
+        poller.register(self.socket, select.POLLIN)
+        for _ in range(_MAX_ACCEPTS_PER_ITERATION):
+            if not poller.poll(0):
+                return
+            self.accept_connection()
+
+    def accept_connection(self) -> None:
+        """Accept a pending connection."""
+        conn = self._connections._from_server_socket(self.socket)
+        if conn is not None:
+            self.add_new_connection(conn)
+
+    def apply_limits(self, limits: FrontLimits, idle_timeout_factor: float = 1.0) -> None:
+        """Apply new limits to the requests that follow.
+
+        Parameters
+        ----------
+        limits : FrontLimits
+        idle_timeout_factor : float
+            Multiple of the idle limit after which the server closes an idle connection.
+        """
+        self.front_limits = limits
+        self.max_request_header_size = limits.header_bytes
+        self.max_request_body_size = limits.body_bytes
+        self.timeout = limits.idle_timeout_s * idle_timeout_factor
