--- a/turmerictray/transport/target_conn.py
+++ b/turmerictray/transport/target_conn.py
@@ -1,4 +1,4 @@
-"""A connection to a target that carries one request at a time."""
+"""Connection to a target that carries one request at a time."""
 
 import http.client
 import io
@@ -11,23 +11,26 @@
 from turmerictray.core.errors import ConnectionBroken, NotSent, OutcomeUnknown
 from turmerictray.transport.exchange import Header
 
-_PIECE_BYTES = 65536
+_READ_SIZE_BYTES = 65536
 _METHODS_WITH_BODY = ("POST", "PUT", "PATCH")
 
-_KEEPALIVE = [
+_SOCKET_OPTIONS = [
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2),
 ]
-"""Probes find a connection that went silent (cut, power loss) within about three seconds; without
-them an idle one looks sound for hours and swallows the next request."""
+"""Options of each connection to a target.
+
+TCP keepalive detects a dead peer (network partition, power loss) within about three seconds.
+Without it an idle connection seems usable for hours, and the next request on it is lost.
+"""
 
 
 @dataclass(frozen=True)
 class TargetRequest:
-    """What is sent to a target; ``headers`` hold everything but the body's length."""
+    """A request to a target; ``headers`` holds all headers except Content-Length."""
 
     method: str
     target: str
@@ -44,30 +47,31 @@
     return head.encode("latin-1") + req.body
 
 
-class _KeptReader(io.BufferedReader):
-    """A buffered reader that outlives the answers read from it.
+class _PersistentReader(io.BufferedReader):
+    """A buffered reader that stays open after each answer read from it.
 
-    An answer closes its file when it ends. Bytes that a target sent after the answer would be
-    lost with the buffer and its next answer would start in the middle; kept, they are noticed.
+    :class:`http.client.HTTPResponse` closes its file at the end of an answer. Bytes that a target
+    sent after the answer would be lost with the buffer, and the next answer would be read from its
+    middle. As the reader stays open, such bytes are detected.
     """
 
     def close(self) -> None:
-        """Do nothing; the connection closes the socket."""
+        """Do nothing; :meth:`TargetConnection.close` closes the socket."""
 
 
-class _ReaderSource:
-    """What :class:`http.client.HTTPResponse` wants of a socket."""
+class _ReaderSocket:
+    """The part of the socket interface that :class:`http.client.HTTPResponse` uses."""
 
     def __init__(self, reader: io.BufferedReader) -> None:
         self._reader = reader
 
     def makefile(self, _mode: str) -> io.BufferedReader:
-        """The connection's one reader."""
+        """Return the connection's reader, which all answers share."""
         return self._reader
 
 
 class TargetConnection:
-    """An open connection to ``address`` (``host:port``).
+    """An open connection to a target at ``address`` (``host:port``).
 
     Raises
     ------
@@ -82,16 +86,16 @@
         self.idle_limit_s: float | None = None
         try:
             self._sock = create_connection(
-                (host, int(port)), timeout=connect_s, socket_options=_KEEPALIVE
+                (host, int(port)), timeout=connect_s, socket_options=_SOCKET_OPTIONS
             )
         except OSError as exc:
             raise NotSent(f"{address}: {exc}") from exc
         raw = socket.SocketIO(self._sock, "r")
-        self._reader = _KeptReader(raw, _PIECE_BYTES)
+        self._reader = _PersistentReader(raw, _READ_SIZE_BYTES)
         self._resp: http.client.HTTPResponse | None = None
 
     def send(self, req: TargetRequest, timeout_s: float) -> None:
-        """Send a whole request.
+        """Send a request, head and body.
 
         Raises
         ------
@@ -102,7 +106,7 @@
             self._sock.settimeout(timeout_s)
             self._sock.sendall(_encode(req))
         except OSError as exc:
-            raise _failure(exc, f"{self.address}: send: {exc}") from exc
+            raise _call_error(exc, f"{self.address}: send: {exc}") from exc
 
     def read_head(self, method: str, timeout_s: float) -> "AnswerHead":
         """Wait for the head of the answer.
@@ -112,81 +116,87 @@
         OutcomeUnknown
             No valid head came within ``timeout_s`` seconds.
         """
-        self._resp = http.client.HTTPResponse(_ReaderSource(self._reader), method=method)
+        self._resp = http.client.HTTPResponse(_ReaderSocket(self._reader), method=method)
         try:
             self._sock.settimeout(timeout_s)
             self._resp.begin()
         except (OSError, http.client.HTTPException, ValueError) as exc:
-            raise _failure(exc, f"{self.address}: head: {exc!r}") from exc
+            raise _call_error(exc, f"{self.address}: head: {exc!r}") from exc
         headers = [(name.title(), val) for name, val in self._resp.getheaders()]
         return AnswerHead(self._resp.status, headers)
 
-    def read_whole(self, deadline: float) -> bytes:
-        """The rest of the answer's body, until ``deadline`` (monotonic seconds).
+    def read_body(self, deadline: float) -> bytes:
+        """Read the rest of the answer's body until ``deadline`` (monotonic seconds).
 
         Raises
         ------
         OutcomeUnknown
-            The body broke off or took too long.
+            The body was cut short or took too long.
         """
-        pieces = []
-        while piece := self.read_piece(deadline):
-            pieces.append(piece)
-        return b"".join(pieces)
-
-    def read_piece(self, deadline: float) -> bytes:
-        """What has arrived of the body, or b"" at its end; waits until ``deadline``."""
-        left = deadline - time.monotonic()
-        if left <= 0:
+        chunks = []
+        while chunk := self.read_available(deadline):
+            chunks.append(chunk)
+        return b"".join(chunks)
+
+    def read_available(self, deadline: float) -> bytes:
+        """Wait until ``deadline`` for body data; return what has arrived, or b"" at the end.
+
+        Raises
+        ------
+        OutcomeUnknown
+            The connection broke, or no data arrived in time.
+        """
+        left_s = deadline - time.monotonic()
+        if left_s <= 0:
             raise OutcomeUnknown(f"{self.address}: body: timed out")
         try:
-            self._sock.settimeout(left)
-            return self._read_some()
+            self._sock.settimeout(left_s)
+            return self._read_body_bytes()
         except (OSError, http.client.HTTPException, ValueError) as exc:
-            raise _failure(exc, f"{self.address}: body: {exc!r}") from exc
+            raise _call_error(exc, f"{self.address}: body: {exc!r}") from exc
 
-    def _read_some(self) -> bytes:
+    def _read_body_bytes(self) -> bytes:
         resp = self._resp
         if resp.isclosed():
             return b""
         if resp.chunked or resp.length is None:
-            return resp.read1(_PIECE_BYTES)
-        # read1() takes the end of the connection for the end of a body of known length, so a body
-        # that is cut short would look whole; read() raises IncompleteRead.
+            return resp.read1(_READ_SIZE_BYTES)
+        # For a body of known length, read1() treats a closed connection as the end of the body, so
+        # a truncated body would seem complete; read() raises IncompleteRead.
         return resp.read()
 
     def is_reusable(self) -> bool:
-        """Whether the answer has ended cleanly and another request may follow."""
+        """Return whether the answer is complete and the connection may carry another request."""
         resp = self._resp
         if resp is None or not resp.isclosed() or resp.will_close:
             return False
-        return not self._has_stray_bytes()
+        return not self._has_unexpected_data()
 
-    def is_fresh(self, margin_s: float, default_limit_s: float) -> bool:
-        """Whether an idle connection may still be used.
+    def is_usable(self, margin_s: float, default_limit_s: float) -> bool:
+        """Return whether an idle connection may still be used.
 
         Parameters
         ----------
         margin_s : float
-            Seconds before the target's idle limit from which it isn't used any more: a target
-            that closes just then resets the request, and nobody knows whether it ran.
+            The connection is not used during this many seconds before the target's idle limit: if
+            the target closes it just then, the request is reset and may or may not have run.
         default_limit_s : float
-            The idle limit of a target that doesn't name one.
+            The idle limit of a target that doesn't announce one.
         """
-        within = self.idle_s() < self.limit_s(default_limit_s) - margin_s
-        return within and not self._has_stray_bytes()
+        within_limit = self.idle_s() < self.effective_idle_limit_s(default_limit_s) - margin_s
+        return within_limit and not self._has_unexpected_data()
 
-    def limit_s(self, default_limit_s: float) -> float:
-        """The target's idle limit, or ``default_limit_s`` if it doesn't name one."""
+    def effective_idle_limit_s(self, default_limit_s: float) -> float:
+        """Return the target's idle limit, or ``default_limit_s`` if it doesn't announce one."""
         return default_limit_s if self.idle_limit_s is None else self.idle_limit_s
 
     def idle_s(self) -> float:
-        """Seconds since the last answer ended."""
+        """Return the seconds since the last answer ended."""
         return time.monotonic() - self.idle_since
 
-    def _has_stray_bytes(self) -> bool:
-        # Anything readable on an idle connection is a close, a reset or an answer that nobody
-        # asked for; used again, it would be taken for the next caller's answer.
+    def _has_unexpected_data(self) -> bool:
+        # Anything readable on an idle connection is a close, a reset or an unrequested answer. If
+        # the connection were reused, that answer would go to the next caller.
         sock = self._sock
         try:
             sock.settimeout(0)
@@ -200,11 +210,11 @@
         return True
 
     def abort(self) -> None:
-        """Break the connection from another thread; a blocked read or write returns at once."""
+        """Shut the connection down from another thread; a blocked read or write fails at once."""
         try:
             self._sock.shutdown(socket.SHUT_RDWR)
         except OSError:
-            # Already closed by the other side, which is what was asked for.
+            # Already closed by the target.
             return
 
     def close(self) -> None:
@@ -212,21 +222,25 @@
         self._sock.close()
 
 
-def _failure(exc: Exception, reason: str) -> OutcomeUnknown:
-    """The error for a call that failed; silence and nonsense say less than a broken connection."""
+def _call_error(exc: Exception, reason: str) -> OutcomeUnknown:
+    """Return the error for a failed call.
+
+    Only a broken connection suggests that the target has exited; a timeout or an invalid answer
+    does not.
+    """
     is_broken = isinstance(exc, http.client.IncompleteRead | ConnectionError)
     return ConnectionBroken(reason) if is_broken else OutcomeUnknown(reason)
 
 
 @dataclass(frozen=True)
 class AnswerHead:
-    """Status and headers of a target's answer; names in title case."""
+    """Status and headers of a target's answer; header names are in title case."""
 
     status: int
     headers: list[Header]
 
     def get(self, name: str) -> str | None:
-        """The first value of ``name`` (title case), or None."""
+        """Return the first value of header ``name`` (title case), or None."""
         for key, val in self.headers:
             if key == name:
                 return val
