--- a/tests/admission/fleet_sim.py
+++ b/tests/admission/fleet_sim.py
@@ -39,7 +39,7 @@
 
 def in_time(fleet: Fleet, since: float = 0.0) -> float:
     """Return the fraction of requests whose first event came within the latency objective."""
-    callers = [caller for caller in fleet.callers if caller.arrived >= since]
+    callers = [caller for caller in fleet.callers if caller.arrived_at >= since]
     return sum(caller.in_time for caller in callers) / max(len(callers), 1)
 
 
@@ -86,4 +86,4 @@
         prompt = Prompt((shared, unshared), shared.tokens + unshared.tokens, 100)
         name = team(rng)
         at = rng.randrange(len(fleet.pools)) if router is None else router(name)
-        fleet.timeline.at(when, fleet.ask, at, Caller(name, when, prompt, OBJECTIVE_S))
+        fleet.timeline.at(when, fleet.submit, at, Caller(name, when, prompt, OBJECTIVE_S))
--- a/tests/admission/test_pool_load.py
+++ b/tests/admission/test_pool_load.py
@@ -11,7 +11,7 @@
     reading_fleet,
 )
 from turmerictray.core.ids import TeamId
-from turmerictray.simulation.fleet import GOSSIP_S, Fleet
+from turmerictray.simulation.fleet import GOSSIP_INTERVAL_S, Fleet
 
 ROUTERS, ENGINES = 8, 9
 
@@ -44,9 +44,9 @@
     fleet = reading_fleet(ROUTERS, ENGINES)
     play_prompts(fleet, per_s=200, seconds=15, seed=3)
     fleet.run(25)
-    waits = [c.refused_at - c.arrived for c in fleet.callers if c.refused_at is not None]
+    waits = [c.refused_at - c.arrived_at for c in fleet.callers if c.refused_at is not None]
     assert waits
-    assert max(waits) <= OBJECTIVE_S + GOSSIP_S
+    assert max(waits) <= OBJECTIVE_S + GOSSIP_INTERVAL_S
 
 
 def test_every_request_ends():
@@ -106,7 +106,7 @@
     fleet.run(30)
 
     def served(team) -> float:
-        done = [c for c in fleet.callers if c.team == team and c.first_at and c.arrived > 4]
+        done = [c for c in fleet.callers if c.team == team and c.first_at and c.arrived_at > 4]
         return sum(caller.prompt.cost for caller in done)
 
     assert served(lone) > 0.85 * served(spread)
--- a/tests/analysis/test_analysis.py
+++ b/tests/analysis/test_analysis.py
@@ -1,13 +1,13 @@
-"""What is told of many requests from the routers' logs."""
+"""Aggregate analysis of router logs: parsing, tallies, tables, JSON and the command."""
 
 import json
 import random
 
 import pytest
 
-from turmerictray.analysis.records import Fate, LeftOut, parse
+from turmerictray.analysis.records import OmittedLines, RequestOutcome, parse_record
 from turmerictray.analysis.report import analysis_json, format_analysis
-from turmerictray.analysis.tally import Analysis, Spread
+from turmerictray.analysis.tally import Analysis, Histogram
 from turmerictray.cli.analyse import analyse
 
 TS = "ts=2026-12-03T10:00:{:09.6f}Z node=r1 zone=z1 role=router seq=7 event="
@@ -18,8 +18,8 @@
     return TS.format(at) + event + " " + " ".join(pairs) + "\n"
 
 
-def ended(at: float = 1.0, **fields: object) -> str:
-    usual = {
+def request_line(at: float = 1.0, **fields: object) -> str:
+    defaults = {
         "req": "q1",
         "team": "depot",
         "route": "plan",
@@ -38,71 +38,71 @@
         "status": 200,
         "ms": 2000,
     }
-    return line("request", at, **{**usual, **fields})
+    return line("request", at, **{**defaults, **fields})
 
 
 @pytest.mark.parametrize(
-    ("fields", "fate"),
+    ("fields", "outcome"),
     [
-        ({}, Fate.IN_TIME),
-        ({"first_ms": 801}, Fate.LATE_START),
-        ({"pause_ms": 251}, Fate.LATE_PAUSE),
-        ({"outcome": "refused", "status": 503, "ms": 12}, Fate.REFUSED_AT_ONCE),
-        ({"outcome": "refused", "status": 429, "ms": 450}, Fate.REFUSED_LATE),
-        ({"outcome": "refused", "status": 502}, Fate.CUT),
-        ({"outcome": "cut"}, Fate.CUT),
-        ({"status": 500}, Fate.CUT),
-        ({"outcome": "caller_gone", "status": 0}, Fate.LEFT),
+        ({}, RequestOutcome.IN_TIME),
+        ({"first_ms": 801}, RequestOutcome.LATE_FIRST_EVENT),
+        ({"pause_ms": 251}, RequestOutcome.LATE_PAUSE),
+        ({"outcome": "refused", "status": 503, "ms": 12}, RequestOutcome.REFUSED_IMMEDIATELY),
+        ({"outcome": "refused", "status": 429, "ms": 450}, RequestOutcome.REFUSED_AFTER_WAIT),
+        ({"outcome": "refused", "status": 502}, RequestOutcome.FAILED),
+        ({"outcome": "cut"}, RequestOutcome.FAILED),
+        ({"status": 500}, RequestOutcome.FAILED),
+        ({"outcome": "caller_gone", "status": 0}, RequestOutcome.CALLER_LEFT),
     ],
 )
-def test_each_end_of_a_request_has_a_fate(fields, fate):
-    assert parse(ended(**fields)).fate is fate
+def test_request_outcome_is_classified(fields, outcome):
+    assert parse_record(request_line(**fields)).outcome is outcome
 
 
-def test_a_record_tells_waits_and_what_is_read_again():
-    record = parse(ended())
+def test_record_has_waits_and_reread_tokens():
+    record = parse_record(request_line())
     assert (record.route, record.team, record.zone) == ("plan", "depot", "z1")
     assert record.wait_s == 0.05
     assert record.engine_s == pytest.approx(0.5)
     assert record.again_tokens == 13_300
     assert not record.moved
-    assert parse(ended(fetch_from="10.0.0.1:80")).moved
+    assert parse_record(request_line(fetch_from="10.0.0.1:80")).moved
 
 
-def test_refusals_that_share_a_line_are_counted_one_by_one():
+def test_refusals_on_shared_line_are_counted_individually():
     shared = line("refused_early", team="depot", route="plan", reason="backlog_full", count=37)
-    record = parse(shared)
-    assert (record.count, record.fate) == (37, Fate.REFUSED_AT_ONCE)
+    record = parse_record(shared)
+    assert (record.count, record.outcome) == (37, RequestOutcome.REFUSED_IMMEDIATELY)
 
 
 @pytest.mark.parametrize("text", ["", "no event\n", line("fleet_size", routers=3), "event=request"])
-def test_other_lines_say_nothing(text):
-    assert parse(text) is None
+def test_unrelated_lines_are_ignored(text):
+    assert parse_record(text) is None
 
 
-def test_lines_that_were_left_out_are_told():
-    assert parse(line("lines_left_out", count=12)) == LeftOut("r1", 12)
+def test_omitted_lines_are_parsed():
+    assert parse_record(line("lines_left_out", count=12)) == OmittedLines("r1", 12)
 
 
-def test_quantiles_are_close_whatever_the_number_of_values():
+def test_quantiles_are_accurate_for_many_values():
     rng = random.Random(3)
     values = sorted(rng.expovariate(2.0) for _ in range(20_000))
-    spread = Spread()
+    histogram = Histogram()
     for value in values:
-        spread.add(value)
-    for part in (0.1, 0.5, 0.9):
-        exact = values[int(part * len(values))]
-        assert spread.quantile(part) == pytest.approx(exact, rel=0.08)
-    assert Spread().quantile(0.5) is None
+        histogram.add(value)
+    for fraction in (0.1, 0.5, 0.9):
+        exact = values[int(fraction * len(values))]
+        assert histogram.quantile(fraction) == pytest.approx(exact, rel=0.08)
+    assert Histogram().quantile(0.5) is None
 
 
 @pytest.fixture
 def log(tmp_path):
     path = tmp_path / "r1.log"
-    lines = [ended(at=n * 0.1) for n in range(40)]
-    lines += [ended(at=3.0, first_ms=1200, team="rider") for _ in range(9)]
+    lines = [request_line(at=n * 0.1) for n in range(40)]
+    lines += [request_line(at=3.0, first_ms=1200, team="rider") for _ in range(9)]
     refused = {"outcome": "refused", "status": 503, "reason": '"QueueTimeout: queue_timeout: 4"'}
-    lines += [ended(at=5.0, **refused) for _ in range(6)]
+    lines += [request_line(at=5.0, **refused) for _ in range(6)]
     lines.append(line("refused_early", 5.1, team="x", route="plan", reason="unread", count=20))
     lines.append(line("lines_left_out", 5.2, count=3))
     path.write_text("".join(lines))
@@ -112,11 +112,11 @@
 def read(path) -> Analysis:
     analysis = Analysis()
     for text in path.read_text().splitlines():
-        analysis.add(parse(text))
+        analysis.add(parse_record(text))
     return analysis
 
 
-def test_the_largest_losses_come_first_with_their_cause(log):
+def test_losses_are_ordered_by_count_and_name_cause(log):
     losses = read(log).losses(3)
     assert [(loss.count, loss.what) for loss in losses] == [
         (20, "refused at once: unread"),
@@ -125,16 +125,16 @@
     ]
 
 
-def test_tables_say_where_and_when_requests_are_lost(log):
-    text = format_analysis(read(log), most=5)
+def test_tables_show_lost_requests_by_dimension_and_time(log):
+    text = format_analysis(read(log), max_rows=5)
     assert "75 requests, 35 not answered in time" in text
     assert "refused at once: unread" in text
     assert "rider" in text
     assert "4 s" in text
-    assert "3 lines were left out by 1 routers" in text
+    assert "3 lines were omitted by 1 routers" in text
 
 
-def test_json_has_the_same_figures(log):
+def test_json_matches_tables(log):
     doc = json.loads(analysis_json(read(log)))
     assert doc["whole"]["requests"] == 75
     assert doc["groups"]["team"]["rider"]["fates"]["late: its first event"] == 9
@@ -142,26 +142,26 @@
     assert doc["whole"]["wait_s"]["p50"] == pytest.approx(0.05, rel=0.08)
 
 
-def test_the_command_reads_logs_and_plots(log, tmp_path, capsys):
+def test_command_reads_logs_and_writes_plot(log, tmp_path, capsys):
     plot = tmp_path / "plot.png"
     assert analyse([log], plot=plot) == 0
     assert "75 requests" in capsys.readouterr().out
     assert plot.stat().st_size > 1000
 
 
-def test_pools_are_summed_up_second_by_second(log):
+def test_pools_are_summed_per_second(log):
     pool = {"service": "llm", "waiting": 3, "ready": 9, "pace_per_s": 4000, "refused": 7}
     lines = [line("pool", at, shard="0/2", idle=4, sent=900, **pool) for at in (1.1, 2.1)]
     lines.append(line("pool", 2.2, shard="1/2", idle=1, sent=100, **pool))
     log.write_text("".join(lines))
     analysis = read(log)
-    second = analysis.pool_seconds()[1]
+    second = analysis.pool_timeline()[1]
     assert second[:2] == ("llm", 1)
     assert (second[2].sent, second[2].idle, second[2].ready) == (1000, 5, 18)
-    assert "llm, 1 s" in format_analysis(analysis, most=5)
+    assert "llm, 1 s" in format_analysis(analysis, max_rows=5)
     assert json.loads(analysis_json(analysis))["pools"][1]["refused"] == 14
 
 
-def test_the_command_names_a_log_that_is_missing(tmp_path, capsys):
+def test_command_reports_missing_log(tmp_path, capsys):
     assert analyse([tmp_path / "none.log"]) == 2
     assert "none.log" in capsys.readouterr().err
--- a/tests/cli/test_config_check.py
+++ b/tests/cli/test_config_check.py
@@ -1,4 +1,4 @@
-"""The command-line tool's checks of settings files and configuration texts."""
+"""The ``config check`` command on settings and configuration files."""
 
 import json
 import subprocess
@@ -22,7 +22,7 @@
 
 
 @given(parsers.parse("a router settings file whose port is {port:d}"), target_fixture="path")
-def bad_settings(tmp_path, port):
+def router_settings(tmp_path, port):
     path = tmp_path / "router.json"
     path.write_text(
         json.dumps(
@@ -48,7 +48,7 @@
     return _cli("config", "check", str(path), "--kind", "router")
 
 
-@when('"turmerictray config check" runs on it as a configuration text', target_fixture="proc")
+@when('"turmerictray config check" runs on it as a configuration', target_fixture="proc")
 def check_config(path):
     return _cli("config", "check", str(path))
 
@@ -93,9 +93,9 @@
 """
 
 CONTENTS = {
-    "a routing text": json.dumps({"version": 3, "routes": [{**_ROUTE, "service": "app"}]}),
-    "a route without to": json.dumps({"version": 3, "routes": [_ROUTE]}),
-    "a broken text": json.dumps({"version": "newest"}),
+    "a routing configuration": json.dumps({"version": 3, "routes": [{**_ROUTE, "service": "app"}]}),
+    "a route without service": json.dumps({"version": 3, "routes": [_ROUTE]}),
+    "an invalid version": json.dumps({"version": "newest"}),
     "node settings": _NODE,
     "node without ip": _NODE.replace('ip = "10.0.0.1"', ""),
     "a seed with no port": _NODE.replace("10.0.0.2:8785", "10.0.0.9"),
@@ -114,7 +114,7 @@
     return _cli("config", "check", str(path), "--kind", kind)
 
 
-@then(parsers.parse('it exits {code:d} and says "{said}"'))
-def exits_saying(proc, code, said):
+@then(parsers.parse('it exits {code:d} and prints "{output}"'))
+def exits_printing(proc, code, output):
     assert proc.returncode == code, proc
-    assert said in proc.stdout + proc.stderr, (proc.stdout, proc.stderr)
+    assert output in proc.stdout + proc.stderr, (proc.stdout, proc.stderr)
--- a/tests/cli/test_simulate.py
+++ b/tests/cli/test_simulate.py
@@ -1,11 +1,11 @@
-"""The ``simulate`` command: its table, its plot, and what it refuses."""
+"""The ``simulate`` command: table, plot and rejected arguments."""
 
 import pytest
 
 from turmerictray.cli.simulate import simulate
 
 
-def test_prints_a_line_for_each_way_and_writes_a_plot(capsys, tmp_path):
+def test_prints_row_per_strategy_and_writes_plot(capsys, tmp_path):
     plot = tmp_path / "runs.png"
     assert simulate(per_s=20, seconds=4, routers=2, engines=3, plot=plot) == 0
     lines = capsys.readouterr().out.splitlines()
@@ -14,13 +14,13 @@
 
 
 @pytest.mark.parametrize(
-    ("wrong", "said"),
+    ("arguments", "message"),
     [
-        ({"ways": "hash,fastest"}, "unknown way 'fastest'; one of hash, model"),
+        ({"ways": "hash,fastest"}, "unknown strategy 'fastest'; one of hash, model"),
         ({"load": "storm"}, "unknown load 'storm'; one of calm, burst"),
-        ({"engines": 0}, "must be above 0"),
+        ({"engines": 0}, "must be greater than 0"),
     ],
 )
-def test_wrong_input_is_refused_with_what_would_do(capsys, wrong, said):
-    assert simulate(**wrong) == 2
-    assert said in capsys.readouterr().err
+def test_invalid_arguments_are_rejected_with_valid_values(capsys, arguments, message):
+    assert simulate(**arguments) == 2
+    assert message in capsys.readouterr().err
--- a/turmerictray/analysis/__init__.py
+++ b/turmerictray/analysis/__init__.py
@@ -1,1 +1,1 @@
-"""What became of many requests, from the routers' logs alone."""
+"""Aggregate analysis of request outcomes, based on router logs only."""
--- a/turmerictray/analysis/plots.py
+++ b/turmerictray/analysis/plots.py
@@ -1,8 +1,8 @@
-"""Plots of an analysis over time."""
+"""Time-series plots of a log analysis."""
 
 from matplotlib.figure import Figure
 
-from turmerictray.analysis.records import Fate
+from turmerictray.analysis.records import RequestOutcome
 from turmerictray.analysis.tally import WINDOW_S, Analysis
 
 _WIDTH_IN = 10.0
@@ -10,24 +10,30 @@
 
 
 def plot_analysis(analysis: Analysis, path: str) -> None:
-    """Write a PNG of what became of requests, how long they waited and how well that was told."""
+    """Write a PNG of request outcomes, waiting times and the accuracy of estimates over time."""
     fig = Figure(figsize=(_WIDTH_IN, _HEIGHT_IN), layout="constrained")
-    fates, waits, told = fig.subplots(3, 1, sharex=True)
+    outcomes_ax, times_ax, estimate_ax = fig.subplots(3, 1, sharex=True)
     timeline = analysis.timeline()
     times = [at for at, _ in timeline]
-    shares = [[tally.fates[fate] / WINDOW_S for _, tally in timeline] for fate in Fate]
-    fates.stackplot(times, shares, labels=[fate.value for fate in Fate])
-    fates.set(ylabel="requests a second")
-    fates.legend(fontsize="small")
-    for part in (0.5, 0.9):
-        label = f"{part:.0%} of them within"
-        waits.plot(times, [t.wait_s.quantile(part) for _, t in timeline], label=f"wait, {label}")
-        engine = [tally.engine_s.quantile(part) for _, tally in timeline]
-        waits.plot(times, engine, linestyle="--", label=f"engine, {label}")
-        told.plot(times, [t.estimate.quantile(part) for _, t in timeline], label=label)
-    waits.set(ylabel="seconds")
-    waits.legend(fontsize="small")
-    told.axhline(1.0, linestyle=":")
-    told.set(xlabel="seconds", ylabel="first event, seen over expected", yscale="log")
-    told.legend(fontsize="small")
+    rates = [
+        [tally.fates[outcome] / WINDOW_S for _, tally in timeline] for outcome in RequestOutcome
+    ]
+    outcomes_ax.stackplot(times, rates, labels=[outcome.value for outcome in RequestOutcome])
+    outcomes_ax.set(ylabel="requests/s")
+    outcomes_ax.legend(fontsize="small")
+    for fraction in (0.5, 0.9):
+        label = f"p{round(100 * fraction)}"
+        times_ax.plot(
+            times, [t.wait_s.quantile(fraction) for _, t in timeline], label=f"wait {label}"
+        )
+        engine = [tally.engine_s.quantile(fraction) for _, tally in timeline]
+        times_ax.plot(times, engine, linestyle="--", label=f"engine {label}")
+        estimate_ax.plot(times, [t.estimate.quantile(fraction) for _, t in timeline], label=label)
+    times_ax.set(ylabel="seconds")
+    times_ax.legend(fontsize="small")
+    estimate_ax.axhline(1.0, linestyle=":")
+    estimate_ax.set(
+        xlabel="seconds", ylabel="time to first event, observed / expected", yscale="log"
+    )
+    estimate_ax.legend(fontsize="small")
     fig.savefig(path)
--- a/turmerictray/analysis/records.py
+++ b/turmerictray/analysis/records.py
@@ -1,4 +1,4 @@
-"""Lines of requests in the routers' logs, as typed records."""
+"""Typed records parsed from request and pool events in router logs."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
@@ -8,51 +8,52 @@
 
 from turmerictray.core.logs import parse_event
 
-_END_OF_REQUEST = " event=request "
+_REQUEST_ENDED = " event=request "
 _REFUSED_EARLY = " event=refused_early "
-_LEFT_OUT = " event=lines_left_out "
+_OMITTED_LINES = " event=lines_left_out "
 _POOL = " event=pool "
-_NONE = "-"
+_MISSING = "-"
 
-_AT_ONCE_MS = 50
-"""A refusal that comes sooner has not waited for a target."""
+_IMMEDIATE_REFUSAL_MS = 50
+"""A request refused within this time has not waited for a target."""
 
 
-class Fate(Enum):
-    """What became of a request."""
+class RequestOutcome(Enum):
+    """Outcome of a request; the values appear in tables and in JSON."""
 
     IN_TIME = "in time"
-    LATE_START = "late: its first event"
+    LATE_FIRST_EVENT = "late: its first event"
     LATE_PAUSE = "late: a pause"
-    REFUSED_AT_ONCE = "refused at once"
-    REFUSED_LATE = "refused after waiting"
-    CUT = "cut or failed"
-    LEFT = "caller left without an answer"
+    REFUSED_IMMEDIATELY = "refused at once"
+    REFUSED_AFTER_WAIT = "refused after waiting"
+    FAILED = "cut or failed"
+    CALLER_LEFT = "caller left without an answer"
 
 
 @dataclass(frozen=True)
 class Record:
-    """One or more requests that ended alike.
+    """One or more requests with the same outcome.
 
     Attributes
     ----------
     at : float
-        Time of day of the end, in seconds since 1970.
+        Time when the request ended, in seconds since 1970.
     count : int
-        Requests; more than one where they were refused by their heads alone.
+        Number of requests. It is above one only for refusals that were decided from the request
+        head, which share a log line.
     route, team, zone, node, scheduler, reason : str
-        ``reason`` is the first word of the router's reason; ``scheduler`` the router that chose
-        the target.
-    wait_s, first_s, expected_s, aim_s : float or None
-        From the request's head to the grant and to its first event; from the grant to the first
-        event as expected then; the objective.
+        ``reason`` is the router's reason up to the first colon; ``scheduler`` is the router that
+        chose the target.
+    wait_s, first_event_s, expected_s, objective_s : float or None
+        Time from the request head to the grant, and from the head to the first event; time from
+        the grant to the first event as estimated at the grant; objective for the first event.
     miss_tokens, again_tokens, moved : int or None
-        Tokens to be read for the prompt; of these, of shared parts; whether kept parts were fetched
-        from another engine.
+        Prompt tokens that were not cached; how many of them belong to shared prompt parts; whether
+        cached parts were fetched from another engine.
     """
 
     at: float
-    fate: Fate
+    outcome: RequestOutcome
     count: int
     route: str
     team: str
@@ -61,48 +62,48 @@
     scheduler: str
     reason: str
     wait_s: float | None = None
-    first_s: float | None = None
+    first_event_s: float | None = None
     expected_s: float | None = None
-    aim_s: float | None = None
+    objective_s: float | None = None
     miss_tokens: int | None = None
     again_tokens: int | None = None
     moved: bool = False
 
     @property
     def engine_s(self) -> float | None:
-        """From the grant to the first event."""
-        if self.wait_s is None or self.first_s is None:
+        """Seconds from the grant to the first event, or None if unknown."""
+        if self.wait_s is None or self.first_event_s is None:
             return None
-        return max(0.0, self.first_s - self.wait_s)
+        return max(0.0, self.first_event_s - self.wait_s)
 
 
 @dataclass(frozen=True)
-class LeftOut:
-    """Lines of requests that a router did not write, to bound its log."""
+class OmittedLines:
+    """Number of request lines that a router omitted to limit its log volume."""
 
     node: str
     count: int
 
 
 @dataclass(frozen=True)
-class PoolSecond:
-    """What a pool of engines did in a second.
+class PoolSample:
+    """Activity of one engine pool during one second.
 
     Attributes
     ----------
     at : float
-        Time of day of its end, in seconds since 1970.
+        End of the second, in seconds since 1970.
     service, shard : str
     waiting : int
-        Requests, at its end.
+        Number of pending requests at the end of the second.
     pace_per_s : float
-        Tokens a second by which waits were estimated.
+        Throughput in tokens per second that wait estimates were based on.
     ready, idle : int
-        Engines that took requests; of these, the ones with nothing to read.
+        Engines that accepted requests, and those among them with no prompt tokens to process.
     sent : int
-        Tokens given to engines.
+        Tokens dispatched to engines.
     refused : int
-        Requests refused as their turn would have come too late.
+        Requests refused because their estimated wait was too long.
     """
 
     at: float
@@ -117,38 +118,40 @@
 
 
 def read_lines(paths: Iterable[Path]) -> Iterator[tuple[int, str]]:
-    """The lines of logs, one file after the other, each with its length in bytes."""
+    """Yield the lines of all log files, each with its length in bytes."""
     for path in paths:
         with open(path, "rb") as file:
             for data in file:
                 yield len(data), data.decode("utf-8", errors="replace")
 
 
-def parse(line: str) -> Record | PoolSecond | LeftOut | None:
-    """What a line of a log says of requests or pools; None for other lines."""
-    if _END_OF_REQUEST in line:
-        return _ended(parse_event(line))
+def parse_record(line: str) -> Record | PoolSample | OmittedLines | None:
+    """Parse a log line; return None unless it reports requests, a pool or omitted lines."""
+    if _REQUEST_ENDED in line:
+        return _parse_request(parse_event(line))
     if _REFUSED_EARLY in line:
-        return _refused_early(parse_event(line))
+        return _parse_early_refusal(parse_event(line))
     if _POOL in line:
-        return _pool_second(parse_event(line))
-    if _LEFT_OUT in line:
+        return _parse_pool(parse_event(line))
+    if _OMITTED_LINES in line:
         fields = parse_event(line)
-        return LeftOut(fields.get("node", _NONE), int(fields.get("count", 0)))
+        return OmittedLines(fields.get("node", _MISSING), int(fields.get("count", 0)))
     return None
 
 
-def _refused_early(fields: dict[str, str]) -> Record:
+def _parse_early_refusal(fields: dict[str, str]) -> Record:
     count = int(fields.get("count", 1))
-    return _record(fields, Fate.REFUSED_AT_ONCE, count, fields.get("reason", _NONE))
+    return _make_record(
+        fields, RequestOutcome.REFUSED_IMMEDIATELY, count, fields.get("reason", _MISSING)
+    )
 
 
-def _pool_second(fields: dict[str, str]) -> PoolSecond:
+def _parse_pool(fields: dict[str, str]) -> PoolSample:
     numbers = ("waiting", "ready", "idle", "sent", "refused")
-    return PoolSecond(
+    return PoolSample(
         at=_time(fields),
-        service=fields.get("service", _NONE),
-        shard=fields.get("shard", _NONE),
+        service=fields.get("service", _MISSING),
+        shard=fields.get("shard", _MISSING),
         pace_per_s=_number(fields, "pace_per_s") or 0.0,
         **{name: int(_number(fields, name) or 0) for name in numbers},
     )
@@ -158,51 +161,57 @@
     return datetime.fromisoformat(fields["ts"]).timestamp()
 
 
-def _ended(fields: dict[str, str]) -> Record:
-    reason = fields.get("reason", _NONE).partition(":")[0]
-    return _record(fields, _fate(fields), 1, reason)
+def _parse_request(fields: dict[str, str]) -> Record:
+    reason = fields.get("reason", _MISSING).partition(":")[0]
+    return _make_record(fields, _classify(fields), 1, reason)
 
 
-def _record(fields: dict[str, str], fate: Fate, count: int, reason: str) -> Record:
-    miss, own = _number(fields, "miss_tokens"), _number(fields, "own")
-    is_moved = fields.get("fetch_from", _NONE) != _NONE
+def _make_record(
+    fields: dict[str, str], outcome: RequestOutcome, count: int, reason: str
+) -> Record:
+    miss, unique = _number(fields, "miss_tokens"), _number(fields, "own")
+    is_moved = fields.get("fetch_from", _MISSING) != _MISSING
     return Record(
         at=_time(fields),
-        fate=fate,
+        outcome=outcome,
         count=count,
-        route=fields.get("route", _NONE),
-        team=fields.get("team", _NONE),
-        zone=fields.get("zone", _NONE),
-        node=fields.get("node", _NONE),
-        scheduler=fields.get("scheduler", _NONE),
+        route=fields.get("route", _MISSING),
+        team=fields.get("team", _MISSING),
+        zone=fields.get("zone", _MISSING),
+        node=fields.get("node", _MISSING),
+        scheduler=fields.get("scheduler", _MISSING),
         reason=reason,
         wait_s=_seconds(fields, "wait_ms"),
-        first_s=_seconds(fields, "first_ms"),
+        first_event_s=_seconds(fields, "first_ms"),
         expected_s=_seconds(fields, "expected_ms"),
-        aim_s=_seconds(fields, "aim_ms"),
+        objective_s=_seconds(fields, "aim_ms"),
         miss_tokens=None if miss is None else int(miss),
-        again_tokens=None if miss is None or own is None else max(0, int(miss - own)),
+        again_tokens=None if miss is None or unique is None else max(0, int(miss - unique)),
         moved=is_moved,
     )
 
 
-def _fate(fields: dict[str, str]) -> Fate:
+def _classify(fields: dict[str, str]) -> RequestOutcome:
     outcome = fields.get("outcome")
     if outcome == "caller_gone":
-        return Fate.LEFT
+        return RequestOutcome.CALLER_LEFT
     if outcome == "refused":
         if fields.get("status") not in ("429", "503"):
-            return Fate.CUT
-        is_soon = (_number(fields, "ms") or 0) < _AT_ONCE_MS
-        return Fate.REFUSED_AT_ONCE if is_soon else Fate.REFUSED_LATE
+            return RequestOutcome.FAILED
+        is_immediate = (_number(fields, "ms") or 0) < _IMMEDIATE_REFUSAL_MS
+        return (
+            RequestOutcome.REFUSED_IMMEDIATELY
+            if is_immediate
+            else RequestOutcome.REFUSED_AFTER_WAIT
+        )
     if outcome != "answered" or fields.get("status", "").startswith("5"):
-        return Fate.CUT
+        return RequestOutcome.FAILED
     first, aim = _number(fields, "first_ms"), _number(fields, "aim_ms")
     if first is not None and aim is not None and first > aim:
-        return Fate.LATE_START
+        return RequestOutcome.LATE_FIRST_EVENT
     pause, gap = _number(fields, "pause_ms"), _number(fields, "gap_ms")
     is_paused = pause is not None and gap is not None and pause > gap
-    return Fate.LATE_PAUSE if is_paused else Fate.IN_TIME
+    return RequestOutcome.LATE_PAUSE if is_paused else RequestOutcome.IN_TIME
 
 
 def _number(fields: dict[str, str], name: str) -> float | None:
--- a/turmerictray/cli/analyse.py
+++ b/turmerictray/cli/analyse.py
@@ -1,10 +1,10 @@
-"""The ``analyse`` command: what became of all requests, from the routers' logs."""
+"""The ``analyse`` command: aggregate request outcomes from router logs."""
 
 import sys
 from collections.abc import Iterable, Iterator
 from pathlib import Path
 
-from turmerictray.analysis.records import parse, read_lines
+from turmerictray.analysis.records import parse_record, read_lines
 from turmerictray.analysis.report import analysis_json, format_analysis
 from turmerictray.analysis.tally import Analysis
 
@@ -12,31 +12,32 @@
 
 
 def analyse(logs: list[Path], json: bool = False, plot: Path | None = None, rows: int = 12) -> int:
-    """Tell from the routers' logs where requests are lost.
+    """Report from router logs which requests are not answered in time, and why.
 
-    Requests by route, team, zone, scheduler and time: in time, late by the first event or by a
-    pause, refused at once or after waiting, cut, left; how long they waited at the router and
-    scheduler and at the engine; tokens of shared parts that were read again.
+    Counts request outcomes by route, team, zone, scheduler and time: in time, late (first event or
+    pause), refused (immediately or after waiting), failed, or left by the caller. Also shows
+    waiting times before the grant and at the engine, and tokens of shared prompt parts that were
+    prefilled again.
 
     Parameters
     ----------
     logs
-        Logs of routers; they may be large.
+        Log files of routers; they are streamed and may be large.
     json
-        Print JSON in place of tables.
+        Print JSON instead of tables.
     plot
-        Write a PNG of the same over time here (needs the ``plot`` extra).
+        Path of a PNG that shows the results over time (needs the ``plot`` extra).
     rows
-        Rows of a table, those with the largest losses.
+        Maximum number of rows per table; rows with the largest losses come first.
     """
     missing = [path for path in logs if not path.is_file()]
     if missing or rows < 1:
-        reason = f"{missing[0]} is no file" if missing else "rows must be 1 or more"
+        reason = f"{missing[0]} is not a file" if missing else "rows must be 1 or more"
         print(f"error: {reason}", file=sys.stderr)
         return _USAGE
     analysis = Analysis()
     for line in _with_progress(logs):
-        analysis.add(parse(line))
+        analysis.add(parse_record(line))
     if plot is not None:
         try:
             from turmerictray.analysis.plots import plot_analysis
@@ -49,7 +50,7 @@
 
 
 def _with_progress(logs: Iterable[Path]) -> Iterator[str]:
-    """The lines of all logs, with a progress bar where a person looks on."""
+    """Yield the lines of all logs, with a progress bar if stderr is a terminal."""
     from rich.console import Console
     from rich.progress import Progress
 
--- a/turmerictray/cli/checks.py
+++ b/turmerictray/cli/checks.py
@@ -1,4 +1,4 @@
-"""The ``config check`` command: texts and settings are checked as the programs read them."""
+"""The ``config check`` command: validates files with the same code that the processes use."""
 
 import sys
 from collections.abc import Callable
@@ -18,29 +18,29 @@
 
 
 def check(file: Path, kind: str = "config") -> int:
-    """Check a configuration text or a settings file; print what is wrong and where.
+    """Check a configuration or settings file; print errors with their location.
 
     Parameters
     ----------
     file
         The file to check.
     kind
-        ``config`` for a configuration text, ``routes`` for a routing text as operators publish it
-        on the users' platform, ``node`` for a process's settings there, or a settings kind:
-        router, engine, service, config-service, instances.
+        ``config`` for a configuration, ``routes`` for a routing configuration as operators publish
+        it on the platform, ``node`` for the settings of a process on the platform, or the kind of
+        a settings file: router, engine, service, config-service, instances.
     """
-    if kind not in _KINDS:
-        print(f"error: unknown kind {kind!r}; one of {', '.join(_KINDS)}", file=sys.stderr)
+    if kind not in _CHECKS:
+        print(f"error: unknown kind {kind!r}; one of {', '.join(_CHECKS)}", file=sys.stderr)
         return _USAGE
     try:
-        found = _KINDS[kind](file)
+        summary = _CHECKS[kind](file)
     except ConfigError as exc:
         print(f"error: {file}: {exc.reason}", file=sys.stderr)
         return 1
     except SettingsError as exc:
         print(f"error: {exc}", file=sys.stderr)
         return 1
-    print(f"ok: {file}: {found}")
+    print(f"ok: {file}: {summary}")
     return 0
 
 
@@ -62,10 +62,10 @@
 def _check_routes(file: Path) -> str:
     from turmerictray.platform.documents import decode_routing_config
 
-    text = decode_routing_config(_read(file))
+    routing = decode_routing_config(_read(file))
     return (
-        f"routing text version {text.version}, {len(text.routes)} routes, "
-        f"{len(text.services)} services, {len(text.teams)} teams"
+        f"routing text version {routing.version}, {len(routing.routes)} routes, "
+        f"{len(routing.services)} services, {len(routing.teams)} teams"
     )
 
 
@@ -84,7 +84,7 @@
     return check_file
 
 
-_KINDS: dict[str, Callable[[Path], str]] = {
+_CHECKS: dict[str, Callable[[Path], str]] = {
     "config": _check_config,
     "routes": _check_routes,
     "node": _check_node,
--- a/turmerictray/cli/demo.py
+++ b/turmerictray/cli/demo.py
@@ -1,4 +1,4 @@
-"""The embedded default: a small fleet on loopback, a short mixed load, the figures."""
+"""The ``demo`` command: a small local fleet under a short mixed load."""
 
 import json
 import signal
@@ -17,15 +17,15 @@
     seed: int = 1,
     workdir: str | None = None,
 ) -> dict:
-    """Start stand-ins and routers, send a mixed load of three teams, print, stop.
+    """Start stand-ins and routers, run a mixed load of three teams and print the results.
 
-    Team ``depot`` (weight 2) lands only on the first router; ``riders`` and ``kiosks``
+    Team ``depot`` (weight 2) sends only to the first router; ``riders`` and ``kiosks``
     (weight 1 each) are spread over all routers.
 
     Returns
     -------
     dict
-        The figures printed.
+        The printed results.
     """
     spec = FleetSpec(
         engines=engines, routers=routers, teams={"depot": 2.0, "riders": 1.0, "kiosks": 1.0}
@@ -38,25 +38,25 @@
     fleet.start()
     try:
         urls = [p.url for p in fleet.routers()]
-        spread = list(range(routers))
-        exp = Experiment(
+        all_routers = list(range(routers))
+        experiment = Experiment(
             urls,
             [p.url for p in fleet.engines()],
             [
                 TeamLoad("depot", 2.0, 8, [0]),
-                TeamLoad("riders", 1.0, 8, spread),
-                TeamLoad("kiosks", 1.0, 8, spread),
+                TeamLoad("riders", 1.0, 8, all_routers),
+                TeamLoad("kiosks", 1.0, 8, all_routers),
             ],
             duration_s=duration_s,
             seed=seed,
         )
-        results = run_experiment(exp)
+        results = run_experiment(experiment)
         time.sleep(0.5)
-        ratio, via, direct = latency_ratio(urls[0], fleet.engines()[0].url)
+        ratio, routed_s, direct_s = latency_ratio(urls[0], fleet.engines()[0].url)
         print(format_results(results))
         print(
             f"first-token latency via router / direct: {ratio:.2f} "
-            f"({via * 1000:.1f} ms / {direct * 1000:.1f} ms, medians of 20)"
+            f"({routed_s * 1000:.1f} ms / {direct_s * 1000:.1f} ms, medians of 20)"
         )
         figures = {
             "fairness_gap": results.fairness_gap,
--- a/turmerictray/cli/explain.py
+++ b/turmerictray/cli/explain.py
@@ -1,4 +1,4 @@
-"""The story of one request, from the logs of all processes."""
+"""Explanation of the outcome of one request, from the logs of all processes."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
@@ -9,9 +9,9 @@
 from turmerictray.core.logs import parse_event
 
 _CONTEXT_S = 10.0
-"""How far back a router's lost and regained dependencies are shown."""
+"""Dependency events of the router are shown from this many seconds before the request's end."""
 
-_DEPENDENCIES = frozenset(
+_DEPENDENCY_EVENTS = frozenset(
     {
         "store_lost",
         "store_back",
@@ -29,116 +29,124 @@
 )
 
 _CAUSES = {
-    "no_config": "the router had read no routing text yet",
-    "no route": "no route of the text in force matches the host and path",
-    "unknown key": "no team of the text in force holds the key",
-    "no_target": "no target of the service was left to try",
-    "backlog_full": "more of the team's requests waited on this router than it could be served",
-    "queue_full": "the team had too many requests waiting on this router",
-    "unread": "requests waited too long to be read on this router",
-    "wait_too_long": "by the pace of sends its turn would have come too late",
-    "another copy": "another copy of it ran, and targets have ended under it before",
-    "quarantined": "targets ended while they began to run it; it is sent to none any more",
-    "queue_timeout": "it waited as long as it may and no target had room",
-    "repeats_used_up": "the budget of repeats left none for another try",
+    "no_config": "the router had not received a routing configuration yet",
+    "no route": "no route of the active configuration matches the host and path",
+    "unknown key": "no team of the active configuration has this API key",
+    "no_target": "no target of the service was available for another attempt",
+    "backlog_full": "the team had more pending requests on this router than could be served",
+    "queue_full": "the team had too many pending requests on this router",
+    "unread": "requests waited too long before this router could read them",
+    "wait_too_long": "its estimated wait, based on recent throughput, exceeded the limit",
+    "another copy": (
+        "another copy of it was running, and targets have crashed under this request before"
+    ),
+    "quarantined": "targets crashed while starting to run it; it is no longer sent to any target",
+    "queue_timeout": "it reached the maximum waiting time before a target had capacity",
+    "repeats_used_up": "the retry budget was exhausted",
     "draining": "the router was shutting down",
-    "TargetBusy": "the targets that were tried did not run it",
-    "TimedOut": "the route's or the caller's time was over",
-    "OutcomeUnknown": "a try broke off after the request had been sent",
-    "ConnectionBroken": "a try broke off after the request had been sent",
-    "caller gone": "the caller hung up",
+    "TargetBusy": "none of the targets it was sent to ran it",
+    "TimedOut": "the time limit of the route or of the caller expired",
+    "OutcomeUnknown": "an attempt was interrupted after the request had been sent",
+    "ConnectionBroken": "an attempt was interrupted after the request had been sent",
+    "caller gone": "the caller disconnected",
 }
 
 
 @dataclass(frozen=True)
-class Line:
-    """One event of a log."""
+class LogEvent:
+    """One log line and its parsed fields."""
 
     text: str
     fields: dict[str, str]
 
     @property
     def event(self) -> str:
-        """The event's name."""
+        """Name of the event."""
         return self.fields.get("event", "")
 
     @property
     def at(self) -> float:
-        """Time of day, in seconds since 1970."""
+        """Time of the event, in seconds since 1970."""
         return datetime.fromisoformat(self.fields["ts"]).timestamp()
 
 
-def parse_line(text: str) -> Line:
-    """Read the pairs of a ``key=value`` line."""
-    return Line(text, parse_event(text))
+def parse_line(text: str) -> LogEvent:
+    """Parse a line of ``key=value`` pairs."""
+    return LogEvent(text, parse_event(text))
 
 
 def explain(request_id: str, paths: Iterable[str | Path]) -> Iterator[str]:
-    """Tell what happened to a request.
+    """Explain the outcome of a request.
 
     Parameters
     ----------
     request_id : str
+        Id that the caller sent.
     paths : iterable of path
-        Logs of all processes that may have seen it.
+        Logs of all processes that may have handled the request.
 
     Yields
     ------
     str
-        Lines for a person: the request's events, what the router believed, and the cause.
+        Human-readable lines: the request's events, the state known to the router, and the cause.
     """
     lines = [parse_line(text) for text in merge_logs(paths)]
-    own = [line for line in lines if request_id in _requests_of(line)]
-    if not own:
-        yield f"no line mentions {request_id}: its logs are missing, or lines were left out"
-        yield from _left_out(lines)
+    request_lines = [line for line in lines if request_id in _requests_of(line)]
+    if not request_lines:
+        yield f"no line mentions {request_id}: its logs are missing, or its lines were omitted"
+        yield from _omitted_lines(lines)
         return
     yield "events:"
-    yield from (f"  {line.text}" for line in own)
-    yield "what the router believed:"
-    yield from (f"  {text}" for text in _beliefs(lines, own))
-    yield f"cause: {_cause(own[-1])}"
+    yield from (f"  {line.text}" for line in request_lines)
+    yield "state known to the router:"
+    yield from (f"  {text}" for text in _router_state(lines, request_lines))
+    yield f"cause: {_cause(request_lines[-1])}"
 
 
 def is_mentioned(request_id: str, paths: Iterable[str | Path]) -> bool:
-    """Whether any line of the logs is about a request."""
+    """Return whether any line of the logs mentions a request."""
     return any(request_id in _requests_of(parse_line(text)) for text in merge_logs(paths))
 
 
-def _requests_of(line: Line) -> list[str]:
-    """The requests that a line is about; those refused by their heads alone share lines."""
+def _requests_of(line: LogEvent) -> list[str]:
+    """Return the ids of the requests in a line; early refusals share a line."""
     return [line.fields.get("req", ""), *line.fields.get("reqs", "").split(",")]
 
 
-def _beliefs(lines: list[Line], own: list[Line]) -> Iterator[str]:
-    last = own[-1]
+def _router_state(lines: list[LogEvent], request_lines: list[LogEvent]) -> Iterator[str]:
+    last = request_lines[-1]
     node, at = last.fields.get("node"), last.at
-    mine = [line for line in lines if line.fields.get("node") == node and line.at <= at]
+    router_lines = [line for line in lines if line.fields.get("node") == node and line.at <= at]
     version = last.fields.get("text")
-    for line in mine:
+    for line in router_lines:
         if line.event == "text_in_force" and line.fields.get("version") == version:
-            yield f"text {version} in force for {at - line.at:.1f} s, from {line.fields['source']}"
-    for target in sorted({line.fields["target"] for line in own if "target" in line.fields}):
-        for line in mine:
+            yield (
+                f"configuration {version} active for {at - line.at:.1f} s, "
+                f"from {line.fields['source']}"
+            )
+    for target in sorted(
+        {line.fields["target"] for line in request_lines if "target" in line.fields}
+    ):
+        for line in router_lines:
             if line.event == "target" and line.fields.get("target") == target:
                 yield f"target {target} {line.fields['phase']} for {at - line.at:.1f} s"
-    for line in mine:
-        if line.event in _DEPENDENCIES and at - line.at <= _CONTEXT_S:
+    for line in router_lines:
+        if line.event in _DEPENDENCY_EVENTS and at - line.at <= _CONTEXT_S:
             yield f"{at - line.at:.1f} s before: {line.text.partition(' event=')[2]}"
 
 
-def _cause(last: Line) -> str:
+def _cause(last: LogEvent) -> str:
     reason = last.fields.get("reason", "")
     if last.fields.get("outcome") == "answered":
         status = last.fields.get("status")
-        return f"none on the router's side: it passed on the target's answer ({status})"
-    for mark, meaning in _CAUSES.items():
-        if mark in reason:
+        return f"not in the router: it relayed the target's answer ({status})"
+    for pattern, meaning in _CAUSES.items():
+        if pattern in reason:
             return f"{meaning} ({reason})"
-    return reason or "not told by the logs given"
+    return reason or "the given logs do not show a cause"
 
 
-def _left_out(lines: list[Line]) -> Iterator[str]:
+def _omitted_lines(lines: list[LogEvent]) -> Iterator[str]:
     for line in lines:
         if line.event == "lines_left_out":
-            yield f"  {line.fields.get('node')} left out {line.fields.get('count')} lines"
+            yield f"  {line.fields.get('node')} omitted {line.fields.get('count')} lines"
--- a/turmerictray/cli/load.py
+++ b/turmerictray/cli/load.py
@@ -1,4 +1,4 @@
-"""The ``load`` command: backlogged load of several teams on running routers."""
+"""The ``load`` command: sends a backlogged load of several teams to running routers."""
 
 import sys
 from pathlib import Path
@@ -17,25 +17,25 @@
     seed: int = 1,
     plot: Path | None = None,
 ) -> int:
-    """Send backlogged load of several teams and report fairness gap, utilisation, control B/s.
+    """Run a backlogged load of several teams; report fairness gap, utilisation and control traffic.
 
     Parameters
     ----------
     router
         Router base URLs.
     engine
-        Engine base URLs (for utilisation).
+        Engine base URLs, queried for their utilisation.
     team
         ``name:weight:callers[:router,router...[:start]]``, for example ``depot:2:8:0`` or
-        ``night:1:8:0,1:8`` for callers that begin after 8 s.
+        ``night:1:8:0,1:8`` for callers that start after 8 s.
     duration
-        Measured seconds (after a 2 s warm-up).
+        Duration of the measurement in seconds, after a warm-up of 2 s.
     max_tokens
         Tokens per answer.
     seed
         Seed of the callers' start jitter.
     plot
-        Write a PNG of service over time here.
+        Path of a PNG that shows the service received by each team over time.
     """
     from turmerictray.loadtool.experiment import Experiment, run_experiment
     from turmerictray.loadtool.report import format_results, plot_series
--- a/turmerictray/cli/main.py
+++ b/turmerictray/cli/main.py
@@ -1,10 +1,11 @@
 """The ``turmerictray`` command-line tool.
 
 Commands: ``serve`` (run a router), ``standin`` (run a stand-in), ``config check``, ``status``,
-``drain``, ``up`` (a local deployment to try by hand), ``explain`` (the story of a request),
-``load`` (the load and experiment tool), ``simulate`` (ways of deciding compared in virtual time),
-``chaos`` and ``soak`` (randomised faults), ``flood`` (one team's requests at one router),
-``analyse`` (where requests are lost), ``bench`` (the capacity bench), ``timeline`` and ``demo``.
+``drain``, ``up`` (a local deployment for manual tests), ``explain`` (why a request ended as it
+did), ``load`` (load generator and fairness experiment), ``simulate`` (placement strategies in
+virtual time), ``chaos`` and ``soak`` (random fault injection), ``flood`` (overload of one router by
+one team), ``analyse`` (late and failed requests), ``bench`` (capacity benchmark), ``timeline``
+(merged logs) and ``demo``.
 """
 
 import json
@@ -23,7 +24,7 @@
 from turmerictray.cli.soak import soak
 
 app = cyclopts.App(name="turmerictray", help="A router fleet that shares model capacity fairly.")
-config_app = cyclopts.App(name="config", help="Check configuration texts and settings files.")
+config_app = cyclopts.App(name="config", help="Check configuration and settings files.")
 app.command(config_app)
 config_app.command(check)
 app.command(load)
@@ -48,12 +49,12 @@
 
 @app.command
 def standin(kind: Literal["engine", "service", "config", "instances"], settings: Path) -> int:
-    """Run a stand-in of the platform in the foreground until SIGTERM.
+    """Run a stand-in for a platform component in the foreground until SIGTERM.
 
     Parameters
     ----------
     kind
-        Which stand-in.
+        Component to run.
     settings
         Its settings file (JSON).
     """
@@ -77,7 +78,7 @@
 
 @app.command
 def status(router: str = "http://127.0.0.1:8080") -> int:
-    """Print a router's state: configuration version, queues, targets, teams, peers.
+    """Print the state of a router: configuration version, queues, targets, teams, peers.
 
     Parameters
     ----------
@@ -101,7 +102,7 @@
 
 @app.command
 def timeline(*logs: Path) -> int:
-    """Merge the logs of all processes into one time line ordered by event time.
+    """Merge the logs of several processes, ordered by event time.
 
     Parameters
     ----------
@@ -117,16 +118,16 @@
 
 @app.command
 def demo(routers: int = 2, engines: int = 2, duration: float = 8.0, seed: int = 1) -> int:
-    """Run the embedded default: stand-ins and routers on loopback, a short mixed load.
+    """Run stand-ins and routers on loopback under a short mixed load and print the results.
 
     Parameters
     ----------
     routers
-        Routers to start (two or more).
+        Number of routers to start, two or more.
     engines
-        Engine stand-ins to start.
+        Number of engine stand-ins to start.
     duration
-        Measured seconds of load.
+        Duration of the measured load in seconds.
     seed
         Seed of the load.
     """
@@ -138,16 +139,16 @@
 
 @app.command
 def up(routers: int = 2, engines: int = 2, workdir: Path | None = None) -> int:
-    """Keep a small deployment on loopback up until interrupted; prints its addresses.
+    """Run a small local deployment until interrupted and print its addresses.
 
     Parameters
     ----------
     routers
-        Router processes to start.
+        Number of router processes to start.
     engines
-        Engine stand-ins to start, beside two plain workers.
+        Number of engine stand-ins to start, in addition to two plain workers.
     workdir
-        Where settings and logs go; a new temporary folder by default.
+        Folder for settings and logs; a new temporary folder by default.
     """
     from turmerictray.platform.standins.up import run_up
 
@@ -156,22 +157,22 @@
 
 @app.command
 def explain(request_id: str, logs: list[Path]) -> int:
-    """Tell what happened to a request, from the logs of all processes.
+    """Explain the outcome of a request from the logs of all processes.
 
     Parameters
     ----------
     request_id
-        The id that its caller sent.
+        Request id sent by the caller.
     logs
-        Log files of the routers that may have seen it.
+        Log files of the routers that may have handled the request.
 
-    Exits 1 when no line mentions it.
+    Exits 1 if no log line mentions the request.
     """
-    from turmerictray.cli.explain import explain as tell
+    from turmerictray.cli.explain import explain as explain_request
     from turmerictray.cli.explain import is_mentioned
 
     try:
-        for line in tell(request_id, logs):
+        for line in explain_request(request_id, logs):
             print(line)
         return 0 if is_mentioned(request_id, logs) else 1
     except OSError as exc:
@@ -181,20 +182,21 @@
 
 @app.command
 def chaos(seed: int = 1, seconds: float = 20.0, workdir: Path | None = None) -> int:
-    """Play a seeded schedule of faults on a local fleet under load and check every promise.
+    """Inject a seeded schedule of faults into a local fleet under load and check all invariants.
 
-    Kills, freezes and cuts routers, takes the configuration service down or stale, publishes
-    valid and invalid texts, and breaks answers, while teams stream and book orders. Exits 1 and
-    lists the broken promises if there are any.
+    Kills, freezes and partitions routers, stops the configuration service or lets it serve stale
+    data, publishes valid and invalid configurations, and interrupts answers, while teams send
+    streaming requests and non-idempotent orders. Exits 1 and lists the violated invariants if
+    there are any.
 
     Parameters
     ----------
     seed
-        Draws the schedule.
+        Seed of the fault schedule.
     seconds
-        Length of the run.
+        Duration of the run.
     workdir
-        Where settings and logs go; a new temporary folder by default.
+        Folder for settings and logs; a new temporary folder by default.
     """
     from turmerictray.loadtool.chaos import format_chaos, run_chaos
 
@@ -205,21 +207,21 @@
 
 @app.command
 def flood(rate: float = 900.0, seconds: float = 120.0, workdir: Path | None = None) -> int:
-    """Flood one router with one team's requests and tell what callers and its processor see.
+    """Flood one router with the requests of one team; report results and processor time.
 
     Parameters
     ----------
     rate
-        Requests a second, each on a connection of its own.
+        Requests per second, each on a new connection.
     seconds
-        How long they come.
+        Duration of the flood.
     workdir
-        Where settings and logs go; a new temporary folder by default.
+        Folder for settings and logs; a new temporary folder by default.
     """
     from turmerictray.platform.standins.flood import flood_one_router, format_flood
 
     if min(rate, seconds) <= 0:
-        print("error: the rate and the seconds must be above 0", file=sys.stderr)
+        print("error: rate and seconds must be greater than 0", file=sys.stderr)
         return 2
     folder = workdir or Path(tempfile.mkdtemp(prefix="flood-"))
     folder.mkdir(parents=True, exist_ok=True)
@@ -229,16 +231,16 @@
 
 @app.command
 def bench(seconds: float = 5.0, out: Path = Path("bench.json"), plot: Path | None = None) -> int:
-    """Measure the slopes of a router's costs on small stand-ins (see docs/CAPACITY.md).
+    """Measure how the costs of a router scale, on small stand-ins (see docs/CAPACITY.md).
 
     Parameters
     ----------
     seconds
-        Length of each timed measurement.
+        Duration of each timed measurement.
     out
-        Where the results go, as JSON.
+        Path of the results, as JSON.
     plot
-        Write a PNG of control bytes/s against fleet size here.
+        Path of a PNG that shows control traffic in bytes/s over fleet size.
     """
     from turmerictray.loadtool.bench import format_bench, run_bench, save_bench
     from turmerictray.loadtool.report import plot_control
--- a/turmerictray/cli/simulate.py
+++ b/turmerictray/cli/simulate.py
@@ -1,4 +1,4 @@
-"""The ``simulate`` command: ways of placing prompts compared in virtual time."""
+"""The ``simulate`` command: compares placement strategies in virtual time."""
 
 import sys
 from pathlib import Path
@@ -16,53 +16,55 @@
     ways: str = "hash,model",
     plot: Path | None = None,
 ) -> int:
-    """Play a load in virtual time, once for each way of placing prompts, and compare them.
+    """Simulate a load with several placement strategies and compare the results.
 
-    Routers are the product's own decisions; engines, callers and messages are modelled. Needs
-    the ``plot`` extra.
+    Routers use the product's decision code; engines, callers and messages are simulated in virtual
+    time. Needs the ``plot`` extra.
 
     Parameters
     ----------
     load
         calm, burst, hot-subject, hot-team, shift, slow-engine or restart.
     per_s
-        Requests a second.
+        Requests per second.
     seconds
-        Length of the load; its trouble lasts for the middle third.
+        Duration of the load; the disturbance lasts for the middle third.
     routers
-        Routers, which tell each other of their work.
+        Number of routers; they exchange load updates.
     engines
-        Engines that they share.
+        Number of engines shared by the routers.
     seed
-        Draws the load.
+        Seed of the generated load.
     ways
-        hash, model, model-no-recall and model-follows-memories, separated by commas.
+        Comma-separated placement strategies: hash, model, model-no-recall (restarted routers do
+        not query the engines for cached parts) and model-follows-memories (routers regularly
+        receive the contents of the engines' caches).
     plot
-        Write a PNG of the runs side by side here.
+        Path of a PNG that compares the runs.
     """
     try:
-        from turmerictray.simulation.loads import Load, Shape
-        from turmerictray.simulation.measure import compare, format_results
-        from turmerictray.simulation.ways import WAYS
+        from turmerictray.simulation.loads import Load, Scenario
+        from turmerictray.simulation.measure import compare_strategies, format_results
+        from turmerictray.simulation.strategies import STRATEGIES
     except ImportError as exc:
         return _refuse(f"{exc}; install turmerictray[plot]")
-    known = {way.name: way for way in WAYS}
+    known = {strategy.name: strategy for strategy in STRATEGIES}
     chosen = ways.split(",")
     unknown = [name for name in chosen if name not in known]
-    shapes = [shape.value for shape in Shape]
+    scenarios = [scenario.value for scenario in Scenario]
     if unknown:
-        return _refuse(f"unknown way {unknown[0]!r}; one of {', '.join(known)}")
-    if load not in shapes:
-        return _refuse(f"unknown load {load!r}; one of {', '.join(shapes)}")
+        return _refuse(f"unknown strategy {unknown[0]!r}; one of {', '.join(known)}")
+    if load not in scenarios:
+        return _refuse(f"unknown load {load!r}; one of {', '.join(scenarios)}")
     if min(per_s, seconds, routers, engines) <= 0:
-        return _refuse("per-s, seconds, routers and engines must be above 0")
-    wanted = Load(Shape(load), per_s, seconds, seed)
-    results = compare(wanted, routers, engines, tuple(known[name] for name in chosen))
-    print(format_results(wanted, results))
+        return _refuse("per-s, seconds, routers and engines must be greater than 0")
+    selected = Load(Scenario(load), per_s, seconds, seed)
+    results = compare_strategies(selected, routers, engines, tuple(known[name] for name in chosen))
+    print(format_results(selected, results))
     if plot is not None:
         from turmerictray.simulation.plots import plot_results
 
-        plot_results(wanted, results, str(plot))
+        plot_results(selected, results, str(plot))
     return 0
 
 
--- a/turmerictray/cli/soak.py
+++ b/turmerictray/cli/soak.py
@@ -1,4 +1,4 @@
-"""The ``soak`` command: randomised faults on router processes, every promise checked."""
+"""The ``soak`` command: injects random faults into router processes and checks invariants."""
 
 import sys
 from pathlib import Path
@@ -12,31 +12,34 @@
     callers: int = 12,
     workdir: Path | None = None,
 ) -> int:
-    """Play seeded faults on local router processes under load and check every promise.
+    """Inject seeded faults into local router processes under load and check all invariants.
 
-    Processes are killed, stopped, paused and told to reload; the store, the workers and the
-    connections between all of them misbehave. Exits 1 and lists the broken promises if there are
-    any; a run's logs stay in its folder.
+    Processes are killed, stopped, paused and reloaded; the store, the workers and the connections
+    between them fail. Exits 1 and lists the violated invariants if there are any; the logs of a
+    run stay in its folder.
 
     Parameters
     ----------
     seed
-        The first seed; it draws the schedule.
+        First seed of the fault schedules.
     seeds
-        How many are played, one after the other.
+        Number of consecutive seeds to run, one after the other.
     seconds
-        Length of each run's faults.
+        Duration of the fault injection of each run.
     routers
         Router processes, two or more.
     callers
-        Callers in closed loops.
+        Number of callers; each sends its next request after the previous answer.
     workdir
-        Where settings and logs go, in a folder for each seed; new temporary folders by default.
+        Parent of the folders for settings and logs, one per seed; temporary folders by default.
     """
     from turmerictray.platform.soak.run import SoakOptions, format_soak, run_soak
 
     if routers < 2 or min(seeds, seconds, callers) <= 0:
-        print("error: at least 2 routers, 1 seed, 1 caller, and some seconds", file=sys.stderr)
+        print(
+            "error: needs at least 2 routers, 1 seed, 1 caller and a duration above 0 seconds",
+            file=sys.stderr,
+        )
         return 2
     broken = 0
     for number in range(seed, seed + seeds):
--- a/turmerictray/simulation/__init__.py
+++ b/turmerictray/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Routers and engines in virtual time, around the real decision objects."""
+"""Discrete-event simulation of routers and engines, using the product's decision code."""
--- a/turmerictray/simulation/fleet.py
+++ b/turmerictray/simulation/fleet.py
@@ -1,4 +1,4 @@
-"""Routers that share engines, with their messages to each other and their callers."""
+"""Simulated fleet of routers that share engines and exchange load updates."""
 
 import itertools
 import random
@@ -20,78 +20,85 @@
 from turmerictray.simulation.engine import Engine, Run
 from turmerictray.simulation.timeline import Timeline
 
-GOSSIP_S = 0.25
-"""Time between a router's messages to its peers."""
+GOSSIP_INTERVAL_S = 0.25
+"""Interval between a router's updates to its peers."""
 
-EXPIRE_S = 0.05
-"""Rhythm in which routers give up requests that have waited their time."""
+EXPIRY_INTERVAL_S = 0.05
+"""Interval at which routers expire pending requests that have reached their deadline."""
 
-_RECONNECT_S = 0.2
-"""Time until a caller whose connection broke asks again."""
+_RECONNECT_DELAY_S = 0.2
+"""Delay before a caller whose connection broke submits its request again."""
 
 _LLM = ServiceName("llm")
 _ZONE = ZoneId("z")
 
-MakeEngine = Callable[[Timeline], Engine]
+EngineFactory = Callable[[Timeline], Engine]
 
 
 @dataclass
 class Caller:
-    """A request and what became of it; times are seconds of virtual time.
+    """A caller with one request and its result; times are virtual seconds.
 
     Attributes
     ----------
     kind : str
+        Name of the kind of request.
     objective_s : float
-        From its first attempt to the first event.
+        Maximum time from the first submission to the first event.
     pause_limit_s : float
-        Longest pause between events that is still on time.
+        Maximum pause between two events.
+    max_resubmissions : int
+        How often the caller submits the request again after a refusal.
     refusals : int
-    broken : bool
-        Its answer ended early.
+        How often the request has been refused.
+    interrupted : bool
+        Whether the answer was interrupted.
     """
 
     team: TeamId
-    arrived: float
+    arrived_at: float
     prompt: Prompt
     objective_s: float
     kind: str = "-"
     pause_limit_s: float = 1e9
-    returns: int = 0
+    max_resubmissions: int = 0
     first_at: float | None = None
     refused_at: float | None = None
     refusals: int = 0
-    broken: bool = False
+    interrupted: bool = False
     run: Run | None = field(default=None, repr=False)
 
     @property
     def in_time(self) -> bool:
-        """Whether the first event, and all others, came within their objectives."""
-        if self.first_at is None or self.first_at - self.arrived > self.objective_s:
+        """Whether the first event and all pauses stayed within their limits."""
+        if self.first_at is None or self.first_at - self.arrived_at > self.objective_s:
             return False
-        if self.broken:
+        if self.interrupted:
             return False
-        return self.run is None or self.run.longest_pause_s <= self.pause_limit_s
+        return self.run is None or self.run.max_pause_s <= self.pause_limit_s
 
 
 class Fleet:
-    """Routers with the product's own decision objects, over modelled engines.
+    """Routers that use the product's decision code, on simulated engines.
 
     Parameters
     ----------
     routers : int
+        Number of routers.
     engines : sequence of callable
-        Make the engines, given the time line.
+        Factories that create an engine on a timeline.
     memory_tokens : int
-        What the operators' text says of an engine's memory.
+        Memory of an engine as given in the routing configuration.
     place : callable
-        The way of choosing an engine.
+        Rule that chooses an engine for a prompt.
+    seed : int
+        Seed of the retry delays and of the routers chosen for retries.
     """
 
     def __init__(
         self,
         routers: int,
-        engines: Sequence[MakeEngine],
+        engines: Sequence[EngineFactory],
         memory_tokens: int = 600_000,
         place: PromptPlacementRule = place_prompt,
         seed: int = 1,
@@ -104,15 +111,15 @@
         self._place = place
         self.pools = [self._make_pool(number) for number in range(routers)]
         self.callers: list[Caller] = []
-        self._ids = itertools.count(1)
-        self._open: dict[int, Caller] = {}
+        self._call_ids = itertools.count(1)
+        self._active: dict[int, Caller] = {}
         self._rng = random.Random(seed)
         self.timeline.at(0.0, self._gossip)
         self.timeline.at(0.0, self._expire)
 
     @property
     def now(self) -> float:
-        """Seconds of virtual time."""
+        """Current virtual time in seconds."""
         return self.timeline.now
 
     def _make_pool(self, number: int) -> ServicePool:
@@ -123,60 +130,62 @@
             pool.targets.add_or_update(TargetInfo(target, _LLM, "h:1", _ZONE, 64))
         return pool
 
-    def restart_all(self, recalled: bool) -> None:
-        """All routers are killed and start again; if ``recalled``, they ask the engines at once.
+    def restart_all(self, warm_up_caches: bool) -> None:
+        """Kill and restart all routers.
 
-        Their callers lose their connections: those without an event yet come back, the others have
-        half an answer.
+        With ``warm_up_caches`` they query the engines for their cached parts at once.
+
+        Callers lose their connections: those that have not received an event submit their request
+        again, the others are left with an interrupted answer.
         """
-        dead, self.pools = self.pools, [self._make_pool(n) for n in range(len(self.pools))]
-        for pool in dead:
-            for item in pool.expire(float("inf")):
-                self._refuse(item.caller, _RECONNECT_S)
-        for caller in self._open.values():
-            caller.run.gone = True
-            caller.broken = caller.first_at is not None
-            if not caller.broken:
-                self._refuse(caller, _RECONNECT_S)
-        self._open.clear()
-        if recalled:
+        old_pools, self.pools = self.pools, [self._make_pool(n) for n in range(len(self.pools))]
+        for pool in old_pools:
+            for request in pool.expire(float("inf")):
+                self._refuse(request.caller, _RECONNECT_DELAY_S)
+        for caller in self._active.values():
+            caller.run.caller_gone = True
+            caller.interrupted = caller.first_at is not None
+            if not caller.interrupted:
+                self._refuse(caller, _RECONNECT_DELAY_S)
+        self._active.clear()
+        if warm_up_caches:
             self.list_engines()
 
     def list_engines(self) -> None:
-        """Each router asks its share of the engines what they keep, and tells its peers."""
+        """Let each router query its share of the engines for cached parts and inform its peers."""
         for number, (target, engine) in enumerate(self.engines.items()):
-            asking = self.pools[number % len(self.pools)]
-            asking.targets.record_cached(target, engine.memory.parts(), announce_to_peers=True)
+            pool = self.pools[number % len(self.pools)]
+            pool.targets.record_cached(target, engine.cache.cached_parts(), announce_to_peers=True)
 
     # -- requests ------------------------------------------------------------------------------
 
-    def ask(self, router: int, caller: Caller) -> None:
-        """A caller's request comes in at a router now."""
+    def submit(self, router: int, caller: Caller) -> None:
+        """Submit a caller's request to a router at the current time."""
         if not caller.refusals:
             self.callers.append(caller)
-        pool, call_id = self.pools[router], next(self._ids)
-        until = self.now + caller.objective_s
-        wanted = PlacementContext(call_id, caller.prompt)
-        item = PendingRequest(
-            RequestId(str(call_id)), caller.team, caller.prompt.cost, until, Future(), wanted
+        pool, call_id = self.pools[router], next(self._call_ids)
+        deadline = self.now + caller.objective_s
+        context = PlacementContext(call_id, caller.prompt)
+        request = PendingRequest(
+            RequestId(str(call_id)), caller.team, caller.prompt.cost, deadline, Future(), context
         )
-        item.caller = caller
+        request.caller = caller
         try:
-            pool.enqueue(item, self.now)
+            pool.enqueue(request, self.now)
         except AdmissionError as exc:
             self._refuse(caller, exc.retry_after)
             return
-        self._pump(pool)
+        self._dispatch(pool)
 
-    def _refuse(self, caller: Caller, room_in_s: float) -> None:
+    def _refuse(self, caller: Caller, retry_in_s: float) -> None:
         caller.refused_at = self.now
         caller.refusals += 1
-        if caller.refusals > caller.returns:
+        if caller.refusals > caller.max_resubmissions:
             return
-        wait = retry_after_s(room_in_s, caller.objective_s * 3, self._rng)
-        self.timeline.at(self.now + wait, self.ask, self._rng.randrange(len(self.pools)), caller)
+        wait = retry_after_s(retry_in_s, caller.objective_s * 3, self._rng)
+        self.timeline.at(self.now + wait, self.submit, self._rng.randrange(len(self.pools)), caller)
 
-    def _pump(self, pool: ServicePool) -> None:
+    def _dispatch(self, pool: ServicePool) -> None:
         for sent in pool.dispatch_ready(self.now):
             self._send(pool, sent)
 
@@ -184,58 +193,58 @@
         target, call_id = sent.placement.load.info.id, sent.pending.context.call_id
         caller, sent_at = sent.pending.caller, self.now
 
-        def first() -> None:
-            if run.gone:
+        def on_first() -> None:
+            if run.caller_gone:
                 return
             caller.first_at = self.now
             pool.targets.record_first_event(target, call_id, self.now - sent_at)
-            self._pump(pool)
+            self._dispatch(pool)
 
-        def done() -> None:
-            if run.gone:
+        def on_done() -> None:
+            if run.caller_gone:
                 return
-            del self._open[call_id]
+            del self._active[call_id]
             pool.settle(target, call_id, Outcome.DONE, self.now)
-            self._pump(pool)
+            self._dispatch(pool)
 
-        run = caller.run = Run(caller.prompt, first, done)
-        self._open[call_id] = caller
+        run = caller.run = Run(caller.prompt, on_first, on_done)
+        self._active[call_id] = caller
         self.engines[target].submit(run)
 
     def _expire(self) -> None:
         for pool in self.pools:
             pool.targets.update_slowness()
             pool.targets.expire_overdue_prefills(self.now)
-            for item in pool.expire(self.now):
-                self._refuse(item.caller, pool.expected_wait_s(item))
-            self._pump(pool)
-        self.timeline.at(self.now + EXPIRE_S, self._expire)
+            for request in pool.expire(self.now):
+                self._refuse(request.caller, pool.expected_wait_s(request))
+            self._dispatch(pool)
+        self.timeline.at(self.now + EXPIRY_INTERVAL_S, self._expire)
 
-    # -- what routers tell each other ------------------------------------------------------------
+    # -- messages between routers ----------------------------------------------------------------
 
     def _gossip(self) -> None:
         for number, pool in enumerate(self.pools):
-            self._tell_peers(NodeId(f"r{number}"), pool)
+            self._send_updates(NodeId(f"r{number}"), pool)
         for pool in self.pools:
-            self._pump(pool)
-        self.timeline.at(self.now + GOSSIP_S, self._gossip)
+            self._dispatch(pool)
+        self.timeline.at(self.now + GOSSIP_INTERVAL_S, self._gossip)
 
-    def _tell_peers(self, node: NodeId, pool: ServicePool) -> None:
-        told, waiting = pool.ledger.local_counters(), pool.backlogged()
+    def _send_updates(self, node: NodeId, pool: ServicePool) -> None:
+        counters, waiting = pool.ledger.local_counters(), pool.backlogged()
         reads = pool.targets.take_unreported_reads()
         work = {
             target: PeerLoad(load.running, load.local_unread_tokens(), self.now)
             for target, load in pool.targets.loads.items()
         }
-        for other in self.pools:
-            if other is pool:
+        for peer in self.pools:
+            if peer is pool:
                 continue
-            other.targets.update_peer_load(node, work)
+            peer.targets.update_peer_load(node, work)
             for target, parts in reads:
-                other.targets.record_peer_read(target, list(parts))
-            other.ledger.merge(node, 1, told)
-            other.ledger.note_waiting(node, waiting)
+                peer.targets.record_peer_read(target, list(parts))
+            peer.ledger.merge(node, 1, counters)
+            peer.ledger.note_waiting(node, waiting)
 
     def run(self, until: float) -> None:
-        """Play up to a time."""
+        """Run the simulation up to a virtual time."""
         self.timeline.run(until)
--- a/turmerictray/simulation/timeline.py
+++ b/turmerictray/simulation/timeline.py
@@ -1,4 +1,4 @@
-"""Virtual time: actions in the order of their times."""
+"""Virtual time and a queue of scheduled actions."""
 
 import heapq
 import itertools
@@ -6,19 +6,19 @@
 
 
 class Timeline:
-    """Plays actions at their times; those of the same time in the order in which they were set."""
+    """Event queue in virtual time; simultaneous actions run in the order they were scheduled."""
 
     def __init__(self) -> None:
         self.now = 0.0
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._actions: list[tuple[float, int, Callable, tuple]] = []
 
     def at(self, when: float, action: Callable, *args: object) -> None:
-        """Do ``action(*args)`` at ``when`` seconds."""
-        heapq.heappush(self._actions, (when, next(self._order), action, args))
+        """Schedule ``action(*args)`` for the virtual time ``when``, in seconds."""
+        heapq.heappush(self._actions, (when, next(self._sequence), action, args))
 
     def run(self, until: float) -> None:
-        """Play all actions up to a time."""
+        """Run all actions scheduled up to and including ``until``."""
         while self._actions and self._actions[0][0] <= until:
             self.now, _, action, args = heapq.heappop(self._actions)
             action(*args)
