--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared fixtures: small fleets of real processes on loopback."""
+"""Shared fixtures: small fleets of real processes on loopback, and the known failing tests."""
 
 from pathlib import Path
 
@@ -8,14 +8,18 @@
 from turmerictray.loadtool.fleet_spec import FleetSpec
 from turmerictray.loadtool.local import LocalFleet
 
-# The same examples on every run, so that a verdict never depends on luck.
+# Generate the same examples on every run, so that results are reproducible.
 settings.register_profile("repeatable", derandomize=True, deadline=None)
 settings.load_profile("repeatable")
 
 
 @pytest.fixture
 def start_fleet(tmp_path):
-    """Start a :class:`LocalFleet` from keyword overrides of :class:`FleetSpec`; stop it after."""
+    """Return a function that starts a :class:`LocalFleet`.
+
+    Its keyword arguments override fields of :class:`FleetSpec`. At the end of the test, all fleets
+    are stopped, and the test fails if a log reports a broken invariant.
+    """
     fleets: list[LocalFleet] = []
 
     def start(**overrides) -> LocalFleet:
@@ -36,19 +40,19 @@
 
 @pytest.fixture
 def ctx() -> dict:
-    """Scratch space shared by the steps of one scenario."""
+    """Values shared by the steps of a scenario."""
     return {}
 
 
 def _known_red() -> set[str]:
-    """Ids of the tests that KNOWN-RED.txt lists."""
+    """Return the ids of the tests that KNOWN-RED.txt lists."""
     path = Path(__file__).parent.parent / "KNOWN-RED.txt"
     lines = path.read_text().splitlines() if path.exists() else []
     return {line.partition(" | ")[0].strip() for line in lines}
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Let the suite pass over the tests that are listed as known red; they still run."""
+    """Mark the tests that KNOWN-RED.txt lists as expected failures; they still run."""
     listed = _known_red()
     for item in items:
         if item.nodeid in listed:
--- a/tests/loadtool/features/chaos.feature
+++ b/tests/loadtool/features/chaos.feature
@@ -1,11 +1,11 @@
-Feature: Randomised runs break no promise
-  Scenario: Kills, freezes, cuts, outages and broken answers overlap
-    When a seeded schedule of faults is played for 15 seconds under load
-    Then routers were killed, frozen and cut off
-    And no promise was broken
-    And most orders were booked and most streams were whole
+Feature: Randomised fault injection violates no guarantee
+  Scenario: Kills, freezes, partitions, outages and broken answers overlap
+    When a seeded schedule of faults is injected for 15 seconds under load
+    Then routers were killed, frozen and partitioned
+    And no guarantee was violated
+    And most orders were booked and most streamed answers were complete
 
-  Scenario: The checker finds what it is for
-    Given a history in which each promise is broken once
+  Scenario: The checks find each kind of violation
+    Given a history with one violation of each checked rule
     When the history is checked
-    Then each broken promise is named
+    Then each violation is reported with its rule
--- a/tests/loadtool/test_chaos.py
+++ b/tests/loadtool/test_chaos.py
@@ -1,4 +1,4 @@
-"""Randomised runs of the whole fleet, and the checker that judges them."""
+"""Randomised fault-injection runs of a fleet, and the checks of their results."""
 
 from dataclasses import replace
 
@@ -14,33 +14,34 @@
 SEED = 7
 
 
-@when("a seeded schedule of faults is played for 15 seconds under load")
-def play(ctx, tmp_path):
-    # Callers stream and book through routers that are killed, frozen and cut off under them,
-    # while the configuration service is down or stale and targets break answers. They may be
-    # refused or told "unknown", but never get a wrong token, an untrue refusal or two vans.
+@when("a seeded schedule of faults is injected for 15 seconds under load")
+def inject_faults(ctx, tmp_path):
+    # Callers send streamed calls and orders through routers that are killed, frozen and
+    # partitioned, while the configuration service is down or stale and targets break answers. A
+    # call may be refused or end with an unknown outcome, but must never get a wrong token, a
+    # refusal as not run although it ran, or a second execution of an order.
     ctx["report"] = run_chaos(SEED, 15.0, str(tmp_path))
 
 
-@then("routers were killed, frozen and cut off")
-def enough_faults(ctx):
+@then("routers were killed, frozen and partitioned")
+def router_faults_injected(ctx):
     assert {"kill_router", "freeze_router", "cut_router"} <= set(ctx["report"].faults)
 
 
-@then("no promise was broken")
-def none_broken(ctx):
+@then("no guarantee was violated")
+def no_violations(ctx):
     assert not ctx["report"].violations, ctx["report"].violations[:5]
 
 
-@then("most orders were booked and most streams were whole")
-def mostly_served(ctx):
+@then("most orders were booked and most streamed answers were complete")
+def majority_served(ctx):
     report = ctx["report"]
     assert report.booked > report.orders / 2, report
     assert report.whole > report.streams / 2, report
 
 
-@given("a history in which each promise is broken once")
-def broken_history(ctx, tmp_path):
+@given("a history with one violation of each checked rule")
+def history_with_violations(ctx, tmp_path):
     good = Outcome("s0", "depot", 200, 3, True, "", 0.0, 0.1, 0.2)
     ctx["outcomes"] = [
         good,
@@ -48,7 +49,7 @@
         replace(good, req_id="s2", status=503, ok=False, error="not_run", retry_after="1"),
         replace(good, req_id="s3", status=503, ok=False, error="not_run"),
     ]
-    ctx["ran"] = {"s0": 1, "s1": 1, "s2": 1}
+    ctx["executions"] = {"s0": 1, "s1": 1, "s2": 1}
     refused = OrderAnswer(503, "not_run")
     ctx["trials"] = [
         OrderTrial("o0", [OrderAnswer(200, "")]),
@@ -56,7 +57,7 @@
         OrderTrial("o2", [OrderAnswer(200, "")]),
         OrderTrial("o3", [refused, refused]),
     ]
-    ctx["orders_ran"] = {"o0": 1, "o1": 2, "o3": 1}
+    ctx["order_executions"] = {"o0": 1, "o1": 2, "o3": 1}
     log = tmp_path / "router-9.log"
     log.write_text(
         "ts=a seq=0 event=x\nts=b seq=5 event=config_in_force version=3\n"
@@ -68,14 +69,14 @@
 
 @when("the history is checked")
 def check(ctx):
-    found = check_history(ctx["outcomes"], ctx["ran"])
-    found += check_orders(ctx["trials"], ctx["orders_ran"])
+    found = check_history(ctx["outcomes"], ctx["executions"])
+    found += check_orders(ctx["trials"], ctx["order_executions"])
     found += check_config_logs([ctx["log"]])
-    ctx["found"] = {(bad.req_id, bad.rule) for bad in found}
+    ctx["found"] = {(violation.req_id, violation.rule) for violation in found}
 
 
-@then("each broken promise is named")
-def named(ctx):
+@then("each violation is reported with its rule")
+def violations_reported(ctx):
     assert ctx["found"] == {
         ("s1", "own-whole"),
         ("s2", "not-run-true"),
--- a/tests/loadtool/test_log_cost.py
+++ b/tests/loadtool/test_log_cost.py
@@ -1,4 +1,4 @@
-"""What log lines cost stays a small part of a core, however many requests there are."""
+"""Request log lines use a small fraction of a core, however many requests there are."""
 
 import pytest
 
@@ -12,9 +12,9 @@
     setup_logging("test")
 
 
-def test_lines_cost_a_bounded_part_of_a_core():
-    # A router's share of a machine is half a core. A flood of requests may double the lines it
-    # would write, and their cost must not: what is over the budget costs next to nothing.
+def test_lines_cost_bounded_core_fraction():
+    # A router may use half a core. When a flood of requests doubles the number of lines, their
+    # cost must not double: lines over the budget are dropped at almost no cost.
     cost = measure_log_cost()
-    assert cost.most_core_share < 0.15
+    assert cost.max_core_fraction < 0.15
     assert cost.left_out_s < 0.1 * cost.line_s
--- a/tests/loadtool/test_relay.py
+++ b/tests/loadtool/test_relay.py
@@ -1,4 +1,4 @@
-"""Relayed links do what networks do: hold bytes back, be late, go silent, reset."""
+"""Relayed links emulate partitions, delays, stalled connections and resets."""
 
 import socket
 import threading
@@ -6,18 +6,18 @@
 
 import pytest
 
-from turmerictray.loadtool.relay import Network, Way
+from turmerictray.loadtool.relay import Direction, Network
 
-ENDS = ({"near"}, {"far"})
+ENDPOINTS = ({"near"}, {"far"})
 
 
 class Echo:
-    """Sends back what it gets."""
+    """TCP server that sends received bytes back."""
 
     def __init__(self) -> None:
         self._listener = socket.create_server(("127.0.0.1", 0))
         self.port = self._listener.getsockname()[1]
-        self.heard: list[bytes] = []
+        self.received: list[bytes] = []
         threading.Thread(target=self._accept, daemon=True).start()
 
     def _accept(self) -> None:
@@ -31,7 +31,7 @@
     def _serve(self, conn: socket.socket) -> None:
         try:
             while data := conn.recv(100):
-                self.heard.append(data)
+                self.received.append(data)
                 conn.sendall(data)
         except ConnectionError:
             pass
@@ -56,7 +56,7 @@
 
 @pytest.fixture
 def connect(network, echo):
-    port = network.add("near", "far", echo.port)
+    port = network.add_link("near", "far", echo.port)
     opened = []
 
     def open_connection() -> socket.socket:
@@ -69,7 +69,7 @@
         sock.close()
 
 
-def ask(sock: socket.socket, data: bytes) -> bytes:
+def exchange(sock: socket.socket, data: bytes) -> bytes:
     sock.sendall(data)
     return sock.recv(100)
 
@@ -86,46 +86,46 @@
         sock.settimeout(2)
 
 
-def test_cut_holds_bytes_until_it_heals(network, connect):
+def test_partition_holds_bytes_until_restored(network, connect):
     sock = connect()
-    assert ask(sock, b"a") == b"a"
-    network.cut(*ENDS)
+    assert exchange(sock, b"a") == b"a"
+    network.partition(*ENDPOINTS)
     assert is_silent(sock, b"b")
-    network.heal()
+    network.restore_all()
     assert sock.recv(100) == b"b"
 
 
-def test_cut_one_way_lets_the_other_way_through(network, connect, echo):
+def test_one_way_partition_passes_the_opposite_direction(network, connect, echo):
     sock = connect()
-    network.cut(*ENDS, (Way.BACK,))
+    network.partition(*ENDPOINTS, (Direction.BACKWARD,))
     assert is_silent(sock, b"a")
-    assert echo.heard == [b"a"]
-    network.mend(*ENDS)
+    assert echo.received == [b"a"]
+    network.restore_links(*ENDPOINTS)
     assert sock.recv(100) == b"a"
 
 
-def test_silenced_connection_stays_so_and_new_ones_work(network, connect):
+def test_stalled_connection_stays_stalled_and_new_ones_work(network, connect):
     old = connect()
-    assert ask(old, b"a") == b"a"
-    network.silence(*ENDS)
+    assert exchange(old, b"a") == b"a"
+    network.stall_connections(*ENDPOINTS)
     assert is_silent(old, b"b")
-    network.heal()
+    network.restore_all()
     assert is_silent(old, b"c")
-    assert ask(connect(), b"d") == b"d"
+    assert exchange(connect(), b"d") == b"d"
 
 
 def test_reset_breaks_open_connections(network, connect):
     sock = connect()
-    assert ask(sock, b"a") == b"a"
-    network.reset(*ENDS)
+    assert exchange(sock, b"a") == b"a"
+    network.reset_connections(*ENDPOINTS)
     with pytest.raises(ConnectionError):
         sock.recv(100)
 
 
 def test_delay_makes_bytes_late(network, connect):
     sock = connect()
-    assert ask(sock, b"a") == b"a"
-    network.delay(*ENDS, 0.2)
-    begun = time.monotonic()
-    assert ask(sock, b"b") == b"b"
-    assert time.monotonic() - begun >= 0.4
+    assert exchange(sock, b"a") == b"a"
+    network.delay(*ENDPOINTS, 0.2)
+    started = time.monotonic()
+    assert exchange(sock, b"b") == b"b"
+    assert time.monotonic() - started >= 0.4
--- a/tests/orders/test_orders_across_routers.py
+++ b/tests/orders/test_orders_across_routers.py
@@ -67,7 +67,7 @@
     target_fixture="fleet",
 )
 def fleet_that_can_be_partitioned(start_fleet):
-    return _fleet(start_fleet, "reset", 1, cuttable=True)
+    return _fleet(start_fleet, "reset", 1, partitionable=True)
 
 
 @when(parsers.parse('a caller books "{key}" through router-0 and again through router-1'))
@@ -118,7 +118,7 @@
     # Both sides of the partition reach the service, and the caller may retry on either side. The
     # larger side stores the claim; the single router can't know what the others ran.
     ctx["first"] = book(fleet, "router-0", key)
-    fleet.cut({"router-0"}, {"router-1", "router-2"})
+    fleet.partition({"router-0"}, {"router-1", "router-2"})
     ctx["isolated"] = book(fleet, "router-0", key + "-never-seen")
     ctx["again"] = [book(fleet, "router-0", key), book(fleet, "router-1", key)]
 
@@ -152,7 +152,7 @@
     # Idempotent requests need no other router, so callers in a partitioned zone are still served.
     # Only orders are refused, and at once, since a copy could run on the other side.
     fleet.post_json("orders-0", "/admin/fault", {"mode": "none"})
-    fleet.cut({"router-0"}, {"router-1", "router-2", "config", "instances"})
+    fleet.partition({"router-0"}, {"router-1", "router-2", "config", "instances"})
     time.sleep(1.0)
 
 
--- a/tests/platform/test_query_of_death.py
+++ b/tests/platform/test_query_of_death.py
@@ -181,7 +181,9 @@
     for _ in range(6):
         for router in deployment.routers:
             ask(router, "/plan/1", b"same")
-        deployment.network.reset({"routers"}, {w.id for w in deployment.of_service("llm")})
+        deployment.network.reset_connections(
+            {"routers"}, {w.id for w in deployment.of_service("llm")}
+        )
     for worker in deployment.of_service("llm"):
         worker.behaviour.faults.clear()
     logs = "".join(router.log_path.read_text() for router in deployment.routers)
--- a/tests/platform/test_store_return.py
+++ b/tests/platform/test_store_return.py
@@ -150,7 +150,7 @@
     time.sleep(BACKUP_AGE_S + 0.2)
     raise_revisions(deployment)
     time.sleep(0.8)
-    deployment.network.cut({"r2"}, {"store"})
+    deployment.network.partition({"r2"}, {"store"})
     restore_store(deployment, lambda: restart_workers(deployment))
     for router in deployment.routers:
         assert wait_for(lambda router=router: ping(router) == 200, PROPAGATION_S)
--- a/tests/router/test_zone_cut.py
+++ b/tests/router/test_zone_cut.py
@@ -23,7 +23,7 @@
         routers=3,
         services=0,
         teams=dict.fromkeys(TEAMS, 1.0),
-        cuttable=True,
+        partitionable=True,
     )
     ctx["callers"] = Callers()
     for name, team in zip(ROUTERS, TEAMS, strict=True):
@@ -46,7 +46,7 @@
     # Each side goes on serving its callers and counts only its local usage. The heartbeats sent
     # during the partition arrive late and all at once when it heals, and must not be counted in
     # addition to newer ones.
-    fleet.cut({"router-0"}, {"router-1", "router-2", "config", "instances"})
+    fleet.partition({"router-0"}, {"router-1", "router-2", "config", "instances"})
     ctx["cut_at"] = time.time()
     newer = dict(fleet.config, limits={**fleet.config["limits"], "retry_after_s": 2.0})
     assert fleet.post_json("config", "/admin/publish", newer)["version"] == 2
@@ -72,7 +72,7 @@
 
 @when("the partition heals")
 def heal(fleet):
-    fleet.heal()
+    fleet.restore_network()
 
 
 @then("within 6 seconds the new configuration is active on every router")
--- a/turmerictray/cli/demo.py
+++ b/turmerictray/cli/demo.py
@@ -63,8 +63,8 @@
             "utilisation": results.utilisation,
             "control_bytes_per_s": results.control_bytes_per_s,
             "latency_ratio": ratio,
-            "whole": results.whole_answers,
-            "broken": results.broken_answers,
+            "whole": results.complete_answers,
+            "broken": results.incomplete_answers,
             "refused": results.refused,
         }
         (fleet.dir / "figures.json").write_text(json.dumps(figures, indent=2))
--- a/turmerictray/loadtool/__init__.py
+++ b/turmerictray/loadtool/__init__.py
@@ -1,1 +1,1 @@
-"""The load and experiment tool: a local fleet of processes, load, and its reports."""
+"""Load, experiment and fault-injection tool, run on a local fleet of processes."""
--- a/turmerictray/loadtool/bench.py
+++ b/turmerictray/loadtool/bench.py
@@ -1,8 +1,8 @@
-"""The capacity bench: slopes of a router's costs, measured on small stand-ins.
+"""The capacity bench: how a router's costs grow, measured on small local fleets.
 
-Each measurement varies one size (teams in a heartbeat, peers, requests) and records what a
-router spends: heartbeat bytes, control bytes per second, processor seconds, resident memory.
-``docs/CAPACITY.md`` works the target-size figures out from these slopes.
+Each measurement varies one size (teams in a heartbeat, peers, requests) and records what a router
+uses: heartbeat bytes, control bytes per second, processor seconds, resident memory.
+``docs/CAPACITY.md`` extrapolates from the fitted slopes to the intended fleet size.
 """
 
 import json
@@ -31,7 +31,7 @@
 
 @dataclass
 class BenchResults:
-    """Slopes and the points they were fitted on."""
+    """Measured points and the slopes fitted to them."""
 
     beat_bytes: dict[int, int] = field(default_factory=dict)
     beat_bytes_per_team: float = 0.0
@@ -54,17 +54,21 @@
 
 def _slope(points: dict[int, float]) -> float:
     xs, ys = list(points), list(points.values())
-    n = len(xs)
-    mx, my = sum(xs) / n, sum(ys) / n
-    den = sum((x - mx) ** 2 for x in xs)
-    return sum((x - mx) * (y - my) for x, y in zip(xs, ys, strict=True)) / den if den else 0.0
+    count = len(xs)
+    mean_x, mean_y = sum(xs) / count, sum(ys) / count
+    squares_sum = sum((x - mean_x) ** 2 for x in xs)
+    return (
+        sum((x - mean_x) * (y - mean_y) for x, y in zip(xs, ys, strict=True)) / squares_sum
+        if squares_sum
+        else 0.0
+    )
 
 
-def beat_size(teams: int) -> int:
-    """Bytes of one full heartbeat carrying ``teams`` counters and as many backlog entries."""
+def heartbeat_size(teams: int) -> int:
+    """Return the bytes of a full heartbeat with ``teams`` counters and as many backlog entries."""
     counters = {f"team-{i:05d}": 123456.0 + i for i in range(teams)}
     demand = {"llm": {f"team-{i:05d}": 7 for i in range(teams)}}
-    beat = Heartbeat(
+    heartbeat = Heartbeat(
         "router-123",
         "halle-ansbach",
         99999,
@@ -73,11 +77,11 @@
         True,
         demand,
     )
-    return len(_ENCODER.encode(beat))
+    return len(_ENCODER.encode(heartbeat))
 
 
-def ledger_size(teams: int, peers: int = 8) -> int:
-    """Bytes a router's ledger and share table hold for ``teams`` teams heard from ``peers``."""
+def ledger_memory_bytes(teams: int, peers: int = 8) -> int:
+    """Return the memory of ledger and share table for ``teams`` teams and ``peers`` peers."""
     tracemalloc.start()
     base = tracemalloc.get_traced_memory()[0]
     ledger = UsageLedger(NodeId("r0"))
@@ -93,8 +97,8 @@
     return used
 
 
-def split_time_ms(routers: int, targets: int, repeat: int = 20) -> float:
-    """Milliseconds to split ``targets`` targets between ``routers`` backlogged routers once."""
+def measure_split_ms(routers: int, targets: int, repeat: int = 20) -> float:
+    """Return the milliseconds to split ``targets`` among ``routers`` backlogged routers once."""
     shares = {f"r{i:03d}": 1 / routers for i in range(routers)}
     slots = [SlotCount(f"t{i:03d}", 64) for i in range(targets)]
     start = time.perf_counter()
@@ -107,8 +111,8 @@
     return [psutil.Process(p.popen.pid) for p in fleet.routers()]
 
 
-def idle_control(routers: int, seconds: float) -> dict:
-    """Control bytes/s and processor share per router of an idle fleet of ``routers``."""
+def measure_idle_control(routers: int, seconds: float) -> dict:
+    """Measure control bytes/s, processor fraction and memory per router of an idle fleet."""
     fleet = LocalFleet(FleetSpec(engines=1, services=0, routers=routers)).start()
     try:
         time.sleep(1.0)
@@ -129,14 +133,16 @@
     }
 
 
-def request_cost(seconds: float, tokens: int = 16, callers: int = 16) -> tuple[float, float, float]:
-    """Router processor seconds per request of ``tokens`` tokens under load.
+def measure_request_cost(
+    seconds: float, tokens: int = 16, callers: int = 16
+) -> tuple[float, float, float]:
+    """Measure the processor seconds of a router per request of ``tokens`` tokens under load.
 
     Returns
     -------
     tuple of float
-        ``(cpu s per request, requests per s, router RSS in MB)``; the router's idle rate,
-        measured first for 2 s, is taken off.
+        ``(cpu s per request, requests per s, router RSS in MB)``; the processor time of an idle
+        router, measured for 2 s before the load, is subtracted.
     """
     fleet = LocalFleet(
         FleetSpec(engines=2, engine_slots=8, services=0, routers=1, tokens_per_s=2000.0)
@@ -160,10 +166,10 @@
 
         cpu0 = sum(proc.cpu_times()[:2])
         threads = [threading.Thread(target=caller) for _ in range(callers)]
-        for thr in threads:
-            thr.start()
-        for thr in threads:
-            thr.join(seconds + 30)
+        for thread in threads:
+            thread.start()
+        for thread in threads:
+            thread.join(seconds + 30)
         cpu = sum(proc.cpu_times()[:2]) - cpu0 - idle_rate * seconds
         rss = proc.memory_info().rss / 2**20
     finally:
@@ -171,8 +177,8 @@
     return cpu / max(1, count[0]), count[0] / seconds, rss
 
 
-def config_in_force_s(routers: int = 4, changes: int = 5) -> list[float]:
-    """Seconds from publishing a change to its being in force on every one of ``routers``."""
+def measure_config_propagation(routers: int = 4, changes: int = 5) -> list[float]:
+    """Measure the seconds from publishing a configuration until every router has it active."""
     fleet = LocalFleet(FleetSpec(engines=1, services=0, routers=routers)).start()
     times = []
     try:
@@ -191,10 +197,10 @@
     return times
 
 
-def leaving_stop_s(routers: int = 4, loads_s: float = 5.0) -> float:
-    """Seconds from marking an engine as leaving to the last request it was given, under load.
+def measure_drain_delay(routers: int = 4, load_duration_s: float = 5.0) -> float:
+    """Measure the seconds from marking an engine as leaving until it admits its last request.
 
-    The instance list of the run lags by 0.5 s and is polled every 0.5 s.
+    The fleet is under load. Its instance list lags by 0.5 s and is polled every 0.5 s.
     """
     fleet = LocalFleet(FleetSpec(engines=2, services=0, routers=routers)).start()
     stop = threading.Event()
@@ -205,48 +211,51 @@
             call_stream(http, url, "depot", 10)
 
     try:
-        # More callers than one engine has slots on every router, so that both get work.
+        # Each router has more callers than one engine has slots, so that both engines get requests.
         threads = [threading.Thread(target=caller, args=(p.url,)) for p in fleet.routers() * 6]
-        for thr in threads:
-            thr.start()
+        for thread in threads:
+            thread.start()
         time.sleep(2.0)
-        marked = time.time()
+        marked_at = time.time()
         fleet.post_json("instances", "/admin/set", {"id": "engine-0", "state": "leaving"})
-        time.sleep(loads_s)
+        time.sleep(load_duration_s)
         stop.set()
-        for thr in threads:
-            thr.join(30)
+        for thread in threads:
+            thread.join(30)
         log = (fleet.dir / "engine-0.log").read_text().splitlines()
     finally:
         stop.set()
         fleet.stop()
     last = next(line for line in reversed(log) if "event=engine_admit" in line)
     stamp = last.split("ts=", 1)[1].split(" ", 1)[0]
-    return datetime.fromisoformat(stamp).timestamp() - marked
+    return datetime.fromisoformat(stamp).timestamp() - marked_at
 
 
 def run_bench(seconds: float = 5.0, peer_sizes: tuple[int, ...] = (2, 4, 6)) -> BenchResults:
-    """Run every measurement; takes about ``len(peer_sizes) * (seconds + 4) + seconds + 8`` s."""
+    """Run all measurements.
+
+    This takes about ``len(peer_sizes) * (seconds + 4) + seconds + 8`` seconds.
+    """
     res = BenchResults()
     for teams in (10, 100, 1000, 5800):
-        res.beat_bytes[teams] = beat_size(teams)
-        res.ledger_bytes[teams] = ledger_size(teams)
+        res.beat_bytes[teams] = heartbeat_size(teams)
+        res.ledger_bytes[teams] = ledger_memory_bytes(teams)
     res.beat_bytes_per_team = _slope(res.beat_bytes)
     res.ledger_bytes_per_team = _slope(res.ledger_bytes)
     for routers in peer_sizes:
-        res.idle[routers] = idle_control(routers, seconds)
+        res.idle[routers] = measure_idle_control(routers, seconds)
     res.control_bytes_per_peer_s = _slope({n - 1: v["bytes_per_s"] for n, v in res.idle.items()})
     res.idle_cpu_core_fraction = max(v["cpu_fraction"] for v in res.idle.values())
     for tokens in (16, 64):
-        cpu, rate, rss = request_cost(seconds, tokens)
+        cpu, rate, rss = measure_request_cost(seconds, tokens)
         res.cpu_by_tokens[tokens] = cpu
         if tokens == 16:
             res.cpu_s_per_request, res.requests_per_s, res.router_rss_mb = cpu, rate, rss
     res.cpu_s_per_token = _slope(res.cpu_by_tokens)
-    res.config_in_force_s = config_in_force_s()
-    res.leaving_stop_s = leaving_stop_s()
+    res.config_in_force_s = measure_config_propagation()
+    res.leaving_stop_s = measure_drain_delay()
     for routers, targets in ((8, 13), (50, 100), (390, 600)):
-        res.split_ms[f"{routers}x{targets}"] = split_time_ms(routers, targets)
+        res.split_ms[f"{routers}x{targets}"] = measure_split_ms(routers, targets)
     for routers in (3, 6):
         res.order_cost[routers] = measure_order_cost(routers)
     res.log_cost = measure_log_cost()
@@ -254,7 +263,7 @@
 
 
 def format_bench(res: BenchResults) -> str:
-    """The bench's short table."""
+    """Format the results as a short table."""
     rows = [
         "heartbeat bytes by teams: "
         + ", ".join(f"{k}={v}" for k, v in res.beat_bytes.items())
@@ -289,13 +298,13 @@
         rows.append(
             f"log line of a request: {res.log_cost.line_s * 1e6:.0f} us cpu; "
             f"at most {res.log_cost.most_lines_per_s} a second, "
-            f"{res.log_cost.most_core_share:.3f} of a core"
+            f"{res.log_cost.max_core_fraction:.3f} of a core"
         )
     return "\n".join(rows)
 
 
 def save_bench(res: BenchResults, path: str) -> None:
-    """Write the results as JSON."""
+    """Write the results to ``path`` as JSON."""
     target = Path(path)
     target.parent.mkdir(parents=True, exist_ok=True)
     target.write_text(json.dumps(asdict(res), indent=2))
--- a/turmerictray/loadtool/chaos.py
+++ b/turmerictray/loadtool/chaos.py
@@ -1,7 +1,7 @@
-"""Randomised runs: mixed load on a local fleet while a seeded schedule of faults plays.
+"""Randomised fault-injection runs: mixed load on a local fleet under a seeded fault schedule.
 
-The routers run in assertion mode and stop loudly when an invariant breaks; the callers' history
-is checked against what the targets executed.
+The routers run in assertion mode: they stop with an error when an invariant is broken. The calls
+that were made are checked against the executions that the targets counted.
 """
 
 import random
@@ -14,7 +14,7 @@
 
 from turmerictray.core.logs import setup_logging
 from turmerictray.loadtool.client import Outcome, call_stream
-from turmerictray.loadtool.fault_player import FaultPlayer
+from turmerictray.loadtool.fault_injector import FaultInjector
 from turmerictray.loadtool.faults import draw_faults
 from turmerictray.loadtool.fleet_spec import FleetSpec
 from turmerictray.loadtool.history import Violation, check_config_logs, check_history, check_orders
@@ -24,28 +24,29 @@
 _TEAMS = {"depot": 2.0, "riders": 1.0, "kiosks": 1.0}
 _CALLERS_PER_TEAM = 4
 _ORDER_CALLERS = 4
-_TOKENS = 15
-_EXIT_WAIT_S = 30.0
+_TOKENS_PER_STREAM = 15
+_EXIT_TIMEOUT_S = 30.0
 
 
 @dataclass
 class ChaosReport:
-    """What a randomised run found.
+    """Results of a randomised fault-injection run.
 
     Attributes
     ----------
     workdir : str
-        Where the logs are; the faults are in ``chaos.log``.
+        Folder of the logs; ``chaos.log`` lists the faults.
     faults : dict of str to int
-        Faults played, by kind.
+        Injected faults, by kind.
     streams, orders : int
-        Streamed calls and orders made.
+        Number of streamed calls and of orders.
     whole, booked, duplicates : int
-        Whole answers, orders answered 200, tries answered as duplicates.
+        Number of complete streamed answers, of order attempts answered with 200, and of attempts
+        refused as duplicates.
     stream_errors : dict of str to int
-        Streamed calls that were not whole, by error type.
+        Number of incomplete streamed calls, by error type.
     violations : list of Violation
-        Every broken promise; empty for a good run.
+        All violated guarantees; empty when the run passed.
     """
 
     seed: int
@@ -60,8 +61,8 @@
     violations: list[Violation] = field(default_factory=list)
 
 
-class _Streams:
-    """Closed-loop streaming callers, each call at a random router."""
+class _StreamCallers:
+    """Closed-loop callers that send each streamed call to a random router."""
 
     def __init__(self, urls: list[str], seed: int) -> None:
         self.urls = urls
@@ -73,40 +74,40 @@
         ]
 
     def start(self) -> None:
-        for thr in self._threads:
-            thr.start()
+        for thread in self._threads:
+            thread.start()
 
     def stop(self) -> None:
         self._stop.set()
-        for thr in self._threads:
-            thr.join(60)
+        for thread in self._threads:
+            thread.join(60)
 
     def _run(self, team: str, seed: int) -> None:
         rng = random.Random(seed)
         http = urllib3.PoolManager(retries=False)
         while not self._stop.is_set():
-            out = call_stream(http, rng.choice(self.urls), team, _TOKENS, timeout_s=15.0)
+            out = call_stream(http, rng.choice(self.urls), team, _TOKENS_PER_STREAM, timeout_s=15.0)
             self.outcomes.append(out)
             if out.status != 200:
                 time.sleep(min(0.5, float(out.retry_after or 0.2)))
 
 
 def run_chaos(seed: int, seconds: float, workdir: str | None = None) -> ChaosReport:
-    """Play the schedule of ``seed`` for ``seconds`` under load and check the history.
+    """Run the fault schedule of ``seed`` for ``seconds`` under load and check the results.
 
     Parameters
     ----------
     seed : int
-        Draws the faults and the callers' choices; the interleaving stays the machine's.
+        Seed of the faults and of the callers' choices. Timing still varies between runs.
     seconds : float
     workdir : str or None
-        Where settings and logs go; a new temporary folder by default.
+        Folder of settings and logs; a new temporary one by default.
 
     Returns
     -------
     ChaosReport
     """
-    spec = FleetSpec(engines=3, services=2, routers=4, teams=_TEAMS, cuttable=True)
+    spec = FleetSpec(engines=3, services=2, routers=4, teams=_TEAMS, partitionable=True)
     fleet = LocalFleet(spec, workdir)
     setup_logging("chaos", "chaos", path=str(fleet.dir / "chaos.log"), stderr=False)
     fleet.start()
@@ -114,34 +115,34 @@
         for proc in fleet.routers():
             fleet.wait_vouching(proc)
         urls = [proc.url for proc in fleet.routers()]
-        player = FaultPlayer(fleet, draw_faults(seed, seconds))
-        streams = _Streams(urls, seed)
+        injector = FaultInjector(fleet, draw_faults(seed, seconds))
+        streams = _StreamCallers(urls, seed)
         callers = [
             OrderCaller(urls, "depot", f"order{i}", seed * 100 + i) for i in range(_ORDER_CALLERS)
         ]
-        parts = [streams, *callers, player]
-        for part in parts:
-            part.start()
-        player.finish()
-        for part in parts[:-1]:
-            part.stop()
+        activities = [streams, *callers, injector]
+        for activity in activities:
+            activity.start()
+        injector.finish()
+        for activity in activities[:-1]:
+            activity.stop()
         trials = [trial for caller in callers for trial in caller.trials]
-        report = _summary(seed, player, streams, trials)
-        report.violations = _check(fleet, streams.outcomes, trials)
+        report = _build_report(seed, injector, streams, trials)
+        report.violations = _check_histories(fleet, streams.outcomes, trials)
         report.violations += _check_exits(fleet)
         return report
     finally:
         fleet.stop()
 
 
-def _summary(
-    seed: int, player: FaultPlayer, streams: _Streams, trials: list[OrderTrial]
+def _build_report(
+    seed: int, injector: FaultInjector, streams: _StreamCallers, trials: list[OrderTrial]
 ) -> ChaosReport:
     answers = [answer for trial in trials for answer in trial.answers]
     return ChaosReport(
         seed,
-        str(player.fleet.dir),
-        player.played,
+        str(injector.fleet.dir),
+        injector.injected_counts,
         len(streams.outcomes),
         sum(out.ok for out in streams.outcomes),
         len(trials),
@@ -161,11 +162,15 @@
     return total
 
 
-def _check(fleet: LocalFleet, outcomes: list[Outcome], trials: list[OrderTrial]) -> list[Violation]:
-    ran = _executions(fleet, "engine")
-    # A streamed call may be run again, so executions count here only as "did it run at all".
-    streams = check_history(outcomes, {key: min(1, count) for key, count in ran.items()})
-    streams = [bad for bad in streams if bad.rule != "own-whole"]
+def _check_histories(
+    fleet: LocalFleet, outcomes: list[Outcome], trials: list[OrderTrial]
+) -> list[Violation]:
+    engine_executions = _executions(fleet, "engine")
+    # Streamed calls may be retried and so run more than once: only check whether they ran.
+    streams = check_history(
+        outcomes, {key: min(1, count) for key, count in engine_executions.items()}
+    )
+    streams = [violation for violation in streams if violation.rule != "own-whole"]
     streams += [
         Violation(out.req_id, "foreign-token", f"after {out.tokens}")
         for out in outcomes
@@ -176,28 +181,28 @@
 
 
 def _check_exits(fleet: LocalFleet) -> list[Violation]:
-    bad = []
+    violations = []
     for proc in fleet.routers():
         code = proc.popen.poll()
         if code is None:
             proc.popen.terminate()
-            code = proc.popen.wait(_EXIT_WAIT_S)
+            code = proc.popen.wait(_EXIT_TIMEOUT_S)
         if code != 0:
-            bad.append(Violation(proc.name, "graceful-exit", f"exit status {code}"))
-    return bad
+            violations.append(Violation(proc.name, "graceful-exit", f"exit status {code}"))
+    return violations
 
 
-def _counts(counts: dict[str, int]) -> str:
+def _join_counts(counts: dict[str, int]) -> str:
     return ", ".join(f"{name}={count}" for name, count in sorted(counts.items()))
 
 
 def format_chaos(report: ChaosReport) -> str:
-    """A short table of the run."""
+    """Format the results of a run as a short table."""
     lines = [
-        f"seed {report.seed}: {sum(report.faults.values())} faults ({_counts(report.faults)})",
-        f"streams: {report.whole} whole of {report.streams} ({_counts(report.stream_errors)})",
+        f"seed {report.seed}: {sum(report.faults.values())} faults ({_join_counts(report.faults)})",
+        f"streams: {report.whole} whole of {report.streams} ({_join_counts(report.stream_errors)})",
         f"orders: {report.booked} booked of {report.orders}, {report.duplicates} duplicates",
         f"violations: {len(report.violations)}; logs in {report.workdir}",
     ]
-    lines += [f"  {bad.rule}: {bad.req_id}: {bad.detail}" for bad in report.violations[:20]]
+    lines += [f"  {found.rule}: {found.req_id}: {found.detail}" for found in report.violations[:20]]
     return "\n".join(lines)
--- a/turmerictray/loadtool/client.py
+++ b/turmerictray/loadtool/client.py
@@ -1,4 +1,4 @@
-"""A caller of the router that checks it got its own whole answer."""
+"""A client of the router that checks each answer for completeness and foreign tokens."""
 
 import time
 import uuid
@@ -10,21 +10,27 @@
 
 @dataclass
 class Outcome:
-    """One call's result as the caller saw it.
+    """The result of one call as its caller observed it.
 
     Attributes
     ----------
     tokens : int
-        Tokens of the answer that carried this call's id, in order.
+        Tokens received in the answer, foreign ones included.
     ok : bool
-        Whole answer, own tokens only, in order, ended by ``[DONE]``.
+        Whether the answer is complete: ``max_tokens`` tokens of this call, in order, and then
+        ``[DONE]``.
     status : int
+        HTTP status; 0 when the call failed before any answer.
     error : str
-        The answer's error type, empty when none.
+        Error type of the answer, or class name of the connection error; empty when none.
+    started : float
+        Wall-clock time of sending, in seconds since the epoch.
     first_token_s, total_s : float
-        Seconds from sending to the first token and to the end.
+        Seconds from sending to the first token (0 when none came) and to the end.
+    retry_after : str or None
+        The ``Retry-After`` header of a refusal.
     foreign : bool
-        Whether the answer carried a token that is not the next one of this call.
+        Whether a token arrived that is not the next token of this call.
     """
 
     req_id: str
@@ -49,18 +55,18 @@
     req_id: str | None = None,
     timeout_s: float = 60.0,
 ) -> Outcome:
-    """Send one streamed chat completion and check its answer.
+    """Send a streamed chat completion request and check its answer.
 
     Parameters
     ----------
     http : urllib3.PoolManager
     url : str
-        Router (or engine) base URL.
+        Base URL of a router or an engine.
     team : str
     max_tokens : int
     prompt : str
     req_id : str or None
-        Request id to send; a new one by default.
+        Request id to send; random by default.
     timeout_s : float
 
     Returns
@@ -77,7 +83,7 @@
         }
     )
     started = time.monotonic()
-    wall = time.time()
+    wall_start = time.time()
     try:
         resp = http.request(
             "POST",
@@ -89,37 +95,45 @@
         )
     except urllib3.exceptions.HTTPError as exc:
         return Outcome(
-            req_id, team, 0, 0, False, type(exc).__name__, wall, 0.0, time.monotonic() - started
+            req_id,
+            team,
+            0,
+            0,
+            False,
+            type(exc).__name__,
+            wall_start,
+            0.0,
+            time.monotonic() - started,
         )
     if resp.status != 200:
         data = resp.read()
         resp.release_conn()
         try:
-            kind = msgspec.json.decode(data)["error"]["type"]
+            error_type = msgspec.json.decode(data)["error"]["type"]
         except (msgspec.DecodeError, KeyError, TypeError):
-            kind = f"status_{resp.status}"
+            error_type = f"status_{resp.status}"
         return Outcome(
             req_id,
             team,
             resp.status,
             0,
             False,
-            kind,
-            wall,
+            error_type,
+            wall_start,
             0.0,
             time.monotonic() - started,
             resp.headers.get("Retry-After"),
         )
-    return _read_stream(resp, req_id, team, max_tokens, started, wall)
+    return _read_stream(resp, req_id, team, max_tokens, started, wall_start)
 
 
-def _read_stream(resp, req_id, team, max_tokens, started, wall) -> Outcome:
+def _read_stream(resp, req_id, team, max_tokens, started, wall_start) -> Outcome:
     buf = b""
     expected = 0
     ok = True
     foreign = False
     done = False
-    first = 0.0
+    first_token_s = 0.0
     error = ""
     try:
         for chunk in resp.stream(4096):
@@ -132,16 +146,16 @@
                 if data == b"[DONE]":
                     done = True
                     continue
-                doc = msgspec.json.decode(data)
-                if "error" in doc:
-                    error = doc["error"]["type"]
+                event_body = msgspec.json.decode(data)
+                if "error" in event_body:
+                    error = event_body["error"]["type"]
                     ok = False
                     continue
-                content = doc["choices"][0]["delta"].get("content")
+                content = event_body["choices"][0]["delta"].get("content")
                 if content is None:
                     continue
-                if not first:
-                    first = time.monotonic() - started
+                if not first_token_s:
+                    first_token_s = time.monotonic() - started
                 if content != f"{req_id}:{expected} ":
                     foreign = True
                 expected += 1
@@ -149,6 +163,17 @@
         ok, error = False, type(exc).__name__
     finally:
         resp.release_conn()
-    whole = ok and done and not foreign and expected == max_tokens
+    complete = ok and done and not foreign and expected == max_tokens
     total = time.monotonic() - started
-    return Outcome(req_id, team, 200, expected, whole, error, wall, first, total, foreign=foreign)
+    return Outcome(
+        req_id,
+        team,
+        200,
+        expected,
+        complete,
+        error,
+        wall_start,
+        first_token_s,
+        total,
+        foreign=foreign,
+    )
--- a/turmerictray/loadtool/experiment.py
+++ b/turmerictray/loadtool/experiment.py
@@ -1,8 +1,8 @@
-"""The load experiment: backlogged teams on a set of routers, and what it measured.
+"""Load experiments: backlogged teams on a set of routers, and the measured results.
 
-Each team runs a fixed number of closed-loop callers, each pinned to one router, so landing can
-be skewed (one team on one router, another spread over all). While the load runs, a sampler
-reads the engines' load and the routers' queues ten times a second.
+Each team runs a fixed number of closed-loop callers. Each caller uses one router only, so that the
+load can be skewed (one team on one router, another spread over all). During the run, the load of
+the engines and the queues of the routers are sampled ten times per second.
 """
 
 import random
@@ -16,26 +16,26 @@
 from turmerictray.loadtool.client import Outcome, call_stream
 from turmerictray.loadtool.scrape import control_bytes
 
-_SAMPLE_S = 0.1
-_CONTROL_SAMPLE_S = 1.0
+_SAMPLE_INTERVAL_S = 0.1
+_CONTROL_SAMPLE_INTERVAL_S = 1.0
 
 
 @dataclass
 class TeamLoad:
-    """One team's callers.
+    """The callers of one team.
 
     Attributes
     ----------
     name : str
     weight : float
-        As in the configuration; used to normalise service.
+        Weight in the configuration; service is divided by it.
     callers : int
-        Closed-loop callers (more than its fair share of slots keeps it backlogged).
+        Number of closed-loop callers; more than the team's fair share of slots keeps it backlogged.
     routers : list of int
-        Router indexes its callers are spread over, in turn.
+        Indexes of the routers that the callers are assigned to in turn.
     start_s : float
-        When its callers begin, in seconds from the start of the run; a team that comes late
-        finds the others with service behind them.
+        Start of the callers, in seconds from the start of the run; a team that starts late
+        competes with teams that have already received service.
     """
 
     name: str
@@ -47,7 +47,7 @@
 
 @dataclass
 class Experiment:
-    """What to run."""
+    """Parameters of a load experiment."""
 
     router_urls: list[str]
     engine_urls: list[str]
@@ -60,18 +60,18 @@
 
 @dataclass(frozen=True)
 class Sample:
-    """The run at one moment of the measured window.
+    """State of the run at one time in the measured window.
 
     Attributes
     ----------
     at_s : float
-        Seconds into the window.
+        Seconds from the start of the window.
     service : dict of str to float
-        Tokens per unit of weight served so far, by team.
+        Tokens served so far per unit of weight, by team.
     utilisation : float
         Busy engine slots over all slots.
     queued : int
-        Requests waiting on all routers.
+        PendingRequest requests, summed over all routers.
     control_bytes : float
         Control bytes of all routers since the start of the run, both directions.
     """
@@ -85,17 +85,19 @@
 
 @dataclass
 class Results:
-    """What a run measured.
+    """Measured results of a run.
 
     Attributes
     ----------
     fairness_gap : float
-        Largest minus smallest normalised service (tokens / weight) between backlogged teams
-        over the measured window, as a fraction of the mean.
+        Difference between the largest and the smallest service (tokens / weight) of the backlogged
+        teams in the measured window, as a fraction of the mean.
     gap_tokens : float
         The same gap in tokens per unit of weight.
     utilisation : float
-        Busy engine slots over all slots, averaged over samples taken while work waited.
+        Busy engine slots over all slots, averaged over the samples with pending requests.
+    waiting_samples : int
+        Number of these samples.
     control_bytes_per_s : float
         Control traffic per router, sent plus received, in bytes per second.
     """
@@ -107,14 +109,14 @@
     utilisation: float = 0.0
     waiting_samples: int = 0
     control_bytes_per_s: float = 0.0
-    whole_answers: int = 0
-    broken_answers: int = 0
+    complete_answers: int = 0
+    incomplete_answers: int = 0
     refused: int = 0
     series: list[Sample] = field(default_factory=list)
 
 
 def run_experiment(exp: Experiment) -> Results:
-    """Run the load and measure it.
+    """Run the load and measure the results.
 
     Returns
     -------
@@ -128,7 +130,7 @@
     stop_at = start + exp.warmup_s + exp.duration_s
     window = (start + exp.warmup_s, stop_at)
     served = {team.name: 0.0 for team in exp.teams}
-    ctl_before = [control_bytes(url) for url in exp.router_urls]
+    control_before = [control_bytes(url) for url in exp.router_urls]
 
     def caller(team: TeamLoad, router: str, delay: float) -> None:
         time.sleep(delay)
@@ -146,22 +148,22 @@
     for team in exp.teams:
         for i in range(team.callers):
             router = exp.router_urls[team.routers[i % len(team.routers)]]
-            thr = threading.Thread(
+            thread = threading.Thread(
                 target=caller,
                 args=(team, router, team.start_s + rng.uniform(0, 0.2)),
                 daemon=True,
             )
-            threads.append(thr)
-    for thr in threads:
-        thr.start()
-    busy, slots_seen = _sample(http, exp, stop_at, window, results, served, lock)
-    for thr in threads:
-        thr.join(timeout=60)
+            threads.append(thread)
+    for thread in threads:
+        thread.start()
+    busy, slots_seen = _sample_load(http, exp, stop_at, window, results, served, lock)
+    for thread in threads:
+        thread.join(timeout=60)
     elapsed = time.monotonic() - start
-    ctl_after = [control_bytes(url) for url in exp.router_urls]
-    results.control_bytes_per_s = sum(a - b for a, b in zip(ctl_after, ctl_before, strict=True)) / (
-        elapsed * len(exp.router_urls)
-    )
+    control_after = [control_bytes(url) for url in exp.router_urls]
+    results.control_bytes_per_s = sum(
+        a - b for a, b in zip(control_after, control_before, strict=True)
+    ) / (elapsed * len(exp.router_urls))
     results.utilisation = busy / slots_seen if slots_seen else 0.0
     weights = {team.name: team.weight for team in exp.teams}
     results.service = {name: served[name] / weights[name] for name in served}
@@ -169,23 +171,23 @@
     mean = sum(values) / len(values) if values else 0.0
     results.gap_tokens = max(values) - min(values) if values else 0.0
     results.fairness_gap = results.gap_tokens / mean if mean else 0.0
-    results.whole_answers = sum(1 for o in results.outcomes if o.ok)
-    results.broken_answers = sum(1 for o in results.outcomes if o.status == 200 and not o.ok)
+    results.complete_answers = sum(1 for o in results.outcomes if o.ok)
+    results.incomplete_answers = sum(1 for o in results.outcomes if o.status == 200 and not o.ok)
     results.refused = sum(1 for o in results.outcomes if o.status != 200)
     return results
 
 
-def _sample(http, exp: Experiment, stop_at: float, window, results: Results, served, lock):
+def _sample_load(http, exp: Experiment, stop_at: float, window, results: Results, served, lock):
     busy = 0.0
     slots_seen = 0.0
     control, control_at = 0.0, 0.0
     while time.monotonic() < stop_at:
-        time.sleep(_SAMPLE_S)
+        time.sleep(_SAMPLE_INTERVAL_S)
         now = time.monotonic()
         try:
-            queued = sum(_get(http, url + "/status")["queued"] for url in exp.router_urls)
-            stats = [_get(http, url + "/admin/stats") for url in exp.engine_urls]
-            if now - control_at >= _CONTROL_SAMPLE_S:
+            queued = sum(_get_json(http, url + "/status")["queued"] for url in exp.router_urls)
+            stats = [_get_json(http, url + "/admin/stats") for url in exp.engine_urls]
+            if now - control_at >= _CONTROL_SAMPLE_INTERVAL_S:
                 control, control_at = sum(map(control_bytes, exp.router_urls)), now
         except (urllib3.exceptions.HTTPError, msgspec.DecodeError, KeyError):
             continue
@@ -203,16 +205,16 @@
     return busy, slots_seen
 
 
-def _get(http: urllib3.PoolManager, url: str) -> dict:
+def _get_json(http: urllib3.PoolManager, url: str) -> dict:
     return msgspec.json.decode(http.request("GET", url, timeout=2.0).data)
 
 
 def latency_ratio(
     router_url: str, engine_url: str, calls: int = 20, max_tokens: int = 8
 ) -> tuple[float, float, float]:
-    """Median time to the first token through the router over direct to an engine.
+    """Compare the median time to the first token through the router and directly to an engine.
 
-    Calls alternate between the two paths in one run, so both meet the same machine load.
+    Calls alternate between the two paths, so that both see the same machine load.
 
     Returns
     -------
@@ -220,11 +222,11 @@
         ``(ratio, median via router in s, median direct in s)``.
     """
     http = urllib3.PoolManager(retries=False)
-    via, direct = [], []
+    routed, direct = [], []
     for _ in range(calls):
-        via.append(call_stream(http, router_url, "depot", max_tokens).first_token_s)
+        routed.append(call_stream(http, router_url, "depot", max_tokens).first_token_s)
         direct.append(call_stream(http, engine_url, "depot", max_tokens).first_token_s)
-    via.sort()
+    routed.sort()
     direct.sort()
-    med_via, med_direct = via[len(via) // 2], direct[len(direct) // 2]
-    return (med_via / med_direct if med_direct else 0.0), med_via, med_direct
+    median_routed, median_direct = routed[len(routed) // 2], direct[len(direct) // 2]
+    return (median_routed / median_direct if median_direct else 0.0), median_routed, median_direct
--- a/turmerictray/loadtool/faults.py
+++ b/turmerictray/loadtool/faults.py
@@ -1,19 +1,23 @@
-"""Seeded schedules of faults for randomised runs."""
+"""Seeded random schedules of faults."""
 
 import random
 from dataclasses import dataclass
 from enum import Enum
 
-_GAP_S = (0.4, 1.6)
-_LENGTH_S = (0.5, 4.0)
+_INTERVAL_RANGE_S = (0.4, 1.6)
+_DURATION_RANGE_S = (0.5, 4.0)
 
 
 class FaultKind(Enum):
-    """What can be done to a local fleet."""
+    """Kinds of faults that can be injected into a local fleet.
+
+    ``PUBLISH`` is no fault but a valid configuration change. The order of the members is part of
+    the schedule of a seed (see :func:`draw_faults`).
+    """
 
     KILL_ROUTER = "kill_router"
     FREEZE_ROUTER = "freeze_router"
-    CUT_ROUTER = "cut_router"
+    PARTITION_ROUTER = "cut_router"
     CONFIG_DOWN = "config_down"
     CONFIG_STALE = "config_stale"
     PUBLISH = "publish"
@@ -26,7 +30,7 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault of a schedule.
+    """A scheduled fault.
 
     Attributes
     ----------
@@ -34,9 +38,9 @@
         Start, in seconds from the start of the run.
     kind : FaultKind
     victim : int
-        Number that picks the process among those of its role.
+        Random number that selects the process among those of the same role.
     for_s : float
-        How long it lasts, in seconds, for kinds that last.
+        Duration in seconds, for kinds that have one.
     """
 
     at_s: float
@@ -46,25 +50,25 @@
 
 
 def draw_faults(seed: int, seconds: float) -> list[Fault]:
-    """The schedule of ``seed``: about one fault a second, overlapping at random.
+    """Draw the fault schedule of ``seed``: about one fault per second, which may overlap.
 
     Parameters
     ----------
     seed : int
     seconds : float
-        Length of the run; faults end with it at the latest.
+        Length of the run; no fault lasts beyond it.
 
     Returns
     -------
     list of Fault
-        In order of time, the same for the same arguments.
+        Sorted by start time; equal arguments give equal schedules.
     """
     rng = random.Random(seed)
     kinds = list(FaultKind)
     faults: list[Fault] = []
-    at = rng.uniform(*_GAP_S)
+    at = rng.uniform(*_INTERVAL_RANGE_S)
     while at < seconds:
-        length = min(rng.uniform(*_LENGTH_S), seconds - at)
-        faults.append(Fault(at, rng.choice(kinds), rng.randrange(1000), length))
-        at += rng.uniform(*_GAP_S)
+        duration = min(rng.uniform(*_DURATION_RANGE_S), seconds - at)
+        faults.append(Fault(at, rng.choice(kinds), rng.randrange(1000), duration))
+        at += rng.uniform(*_INTERVAL_RANGE_S)
     return faults
--- a/turmerictray/loadtool/fleet_spec.py
+++ b/turmerictray/loadtool/fleet_spec.py
@@ -1,37 +1,40 @@
-"""What a local fleet consists of, and the configuration text for it."""
+"""Size and settings of a local fleet, and the configuration published in it."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass
 class FleetSpec:
-    """What to start.
+    """Number and settings of the processes of a local fleet.
 
     Attributes
     ----------
     engines : int
-        Model engine stand-ins.
+        Number of emulated model engines.
     engine_slots : int
+        Requests that an engine runs at the same time.
     tokens_per_s : float
         Decode rate of one engine slot.
     services : int
-        Plain service stand-ins.
+        Number of emulated plain services.
     routers : int
     zones : list of str
-        Zones, given to routers and targets in turn.
+        Availability zones, assigned to routers and targets in turn.
     teams : dict of str to float
-        Team to weight.
+        Weight of each team.
     limits : dict
-        Overrides of the configuration's ``limits``.
+        Entries that override ``limits`` of the configuration.
     check_fencing : bool
+        Whether engines refuse model orders with an outdated fencing number.
     models : list of str
-        What the engines are to load; none means that the routers give no orders.
-    instance_lag_s : float
-    cuttable : bool
-        Put relays between the routers and between each router and the platform, so that
-        :meth:`LocalFleet.cut` can cut them off from each other.
+        Models that the engines are to load; when empty, routers send no model orders.
+    instance_lag_s, load_lag_s : float
+        Age in seconds of the states in the instance list, and of the load reported by engines.
+    partitionable : bool
+        Whether connections among the routers, and from each router to the configuration service
+        and the instance list, pass through relays, as :meth:`LocalFleet.partition` needs.
     router_threads : int
-        Threads of each router's front.
+        Threads of the HTTP server of each router.
     """
 
     engines: int = 2
@@ -46,20 +49,20 @@
     models: list[str] = field(default_factory=list)
     instance_lag_s: float = 0.5
     load_lag_s: float = 0.3
-    cuttable: bool = False
+    partitionable: bool = False
     router_threads: int = 256
 
     def zone(self, idx: int) -> str:
-        """The zone of the router or target numbered ``idx`` of its kind."""
+        """Return the zone of the router or target with index ``idx`` among its kind."""
         return self.zones[idx % len(self.zones)]
 
-    def config_text(self, engine_urls: dict[str, str], service_urls: dict[str, str]) -> dict:
-        """The configuration text, as a JSON-ready object.
+    def build_config(self, engine_urls: dict[str, str], service_urls: dict[str, str]) -> dict:
+        """Build the configuration as an object that can be encoded as JSON.
 
         Parameters
         ----------
         engine_urls, service_urls : dict of str to str
-            Base URL by target id.
+            Base URL of each target, by target id.
         """
         services = [
             {
@@ -67,8 +70,8 @@
                 "kind": "model",
                 "models": ["stand-in"],
                 "targets": [
-                    self._engine(idx, eid, url)
-                    for idx, (eid, url) in enumerate(engine_urls.items())
+                    self._engine(idx, engine_id, url)
+                    for idx, (engine_id, url) in enumerate(engine_urls.items())
                 ],
             }
         ]
@@ -80,8 +83,8 @@
                     "idempotent": False,
                     "depends_on": ["llm"],
                     "targets": [
-                        {"id": sid, "url": url, "zone": self.zone(idx), "slots": 16}
-                        for idx, (sid, url) in enumerate(service_urls.items())
+                        {"id": service_id, "url": url, "zone": self.zone(idx), "slots": 16}
+                        for idx, (service_id, url) in enumerate(service_urls.items())
                     ],
                 }
             )
@@ -92,9 +95,9 @@
             "limits": {"queue_timeout_s": 30.0, "retry_after_s": 1.0, **self.limits},
         }
 
-    def _engine(self, idx: int, eid: str, url: str) -> dict:
+    def _engine(self, idx: int, engine_id: str, url: str) -> dict:
         return {
-            "id": eid,
+            "id": engine_id,
             "url": url,
             "zone": self.zone(idx),
             "slots": self.engine_slots,
--- a/turmerictray/loadtool/local.py
+++ b/turmerictray/loadtool/local.py
@@ -1,7 +1,7 @@
-"""Starting a small fleet of real processes on loopback: stand-ins and routers.
+"""Launcher of a small fleet of real processes on loopback: routers and stand-ins.
 
-This is what ``turmerictray demo`` and the process tests run on. The router daemon itself never
-starts a process; only this launcher does, as an operator's shell would.
+``turmerictray demo`` and the process tests use it. The router daemon itself never starts
+processes; this launcher does, in the place of an operator's shell.
 """
 
 import json
@@ -23,45 +23,45 @@
 from turmerictray.loadtool.relay import Network
 
 _READY_TIMEOUT_S = 20.0
-_PORTS = (10240, 32768)
-_handed_out: set[int] = set()
+_PORT_RANGE = (10240, 32768)
+_assigned_ports: set[int] = set()
 
 
 def free_port() -> int:
-    """A TCP port on 127.0.0.1 that is free now and was not handed out before.
+    """Return a free TCP port on 127.0.0.1 that was not returned before.
 
-    Ports come from below the range the system gives to outgoing connections (32768 and up on
-    Linux). Taken from that range, a port could go to one of a load's many connections before the
-    process it was meant for had started, which then failed with "address already in use".
+    Ports are taken from below the ephemeral range (32768 and up on Linux). A port within that range
+    could be assigned to an outgoing connection of the load before the intended process binds it,
+    which then fails with "address already in use".
     """
     while True:
-        port = random.randrange(*_PORTS)
-        if port in _handed_out:
+        port = random.randrange(*_PORT_RANGE)
+        if port in _assigned_ports:
             continue
         with socket.socket() as sock:
             try:
                 sock.bind(("127.0.0.1", port))
             except OSError:
                 continue
-        _handed_out.add(port)
+        _assigned_ports.add(port)
         return port
 
 
-def _nng(port: int) -> str:
+def _nng_url(port: int) -> str:
     return f"tcp://127.0.0.1:{port}"
 
 
-def _ready(status: dict) -> bool:
+def _is_ready(status: dict) -> bool:
     return status["ready"]
 
 
-def _vouching(status: dict) -> bool:
+def _is_vouching(status: dict) -> bool:
     return status["orders"]["vouching"]
 
 
 @dataclass
 class Proc:
-    """A started process and what it serves."""
+    """A started process, its URL and its files."""
 
     name: str
     kind: str
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True)
 class RouterPorts:
-    """The ports one router listens on."""
+    """Listening ports of one router."""
 
     http: int
     heartbeat: int
@@ -81,13 +81,13 @@
 
 
 class LocalFleet:
-    """Starts, finds and stops the processes of one :class:`FleetSpec`.
+    """The running processes of one :class:`FleetSpec`.
 
     Parameters
     ----------
     spec : FleetSpec
     workdir : str or None
-        Where settings and logs go; a new temporary folder by default.
+        Folder of settings and logs; a new temporary one by default.
     """
 
     def __init__(self, spec: FleetSpec, workdir: str | None = None) -> None:
@@ -97,11 +97,11 @@
         self.procs: dict[str, Proc] = {}
         self.http = urllib3.PoolManager(retries=False)
         self.config: dict = {}
-        self.network: Network | None = Network() if spec.cuttable else None
+        self.network: Network | None = Network() if spec.partitionable else None
 
-    # -- building -------------------------------------------------------------------------
+    # -- settings -------------------------------------------------------------------------
 
-    def _write(self, name: str, doc: dict) -> Path:
+    def _write_settings(self, name: str, doc: dict) -> Path:
         path = self.dir / f"{name}.json"
         path.write_text(json.dumps(doc, indent=2))
         return path
@@ -109,7 +109,7 @@
     # -- life cycle -----------------------------------------------------------------------
 
     def start(self) -> "LocalFleet":
-        """Start everything and wait until each process answers."""
+        """Start all processes and wait until each one answers."""
         try:
             self._start_all()
         except BaseException:
@@ -125,46 +125,46 @@
             self.wait_ready(proc)
 
     def _start_targets(self) -> None:
-        s = self.spec
+        spec = self.spec
         engine_urls, service_urls = {}, {}
-        for i in range(s.engines):
-            eid = f"engine-{i}"
+        for i in range(spec.engines):
+            engine_id = f"engine-{i}"
             port = free_port()
             self._spawn(
-                eid,
+                engine_id,
                 "engine",
                 port,
                 {
-                    "id": eid,
+                    "id": engine_id,
                     "listen": {"port": port},
                     "zone": self.spec.zone(i),
-                    "slots": s.engine_slots,
-                    "tokens_per_s": s.tokens_per_s,
-                    "load_lag_s": s.load_lag_s,
-                    "check_fencing": s.check_fencing,
-                    "log_file": str(self.dir / f"{eid}.log"),
+                    "slots": spec.engine_slots,
+                    "tokens_per_s": spec.tokens_per_s,
+                    "load_lag_s": spec.load_lag_s,
+                    "check_fencing": spec.check_fencing,
+                    "log_file": str(self.dir / f"{engine_id}.log"),
                 },
             )
-            engine_urls[eid] = f"http://127.0.0.1:{port}"
-        for i in range(s.services):
-            sid = f"orders-{i}"
+            engine_urls[engine_id] = f"http://127.0.0.1:{port}"
+        for i in range(spec.services):
+            service_id = f"orders-{i}"
             port = free_port()
             self._spawn(
-                sid,
+                service_id,
                 "service",
                 port,
                 {
-                    "id": sid,
+                    "id": service_id,
                     "listen": {"port": port},
                     "zone": self.spec.zone(i),
-                    "log_file": str(self.dir / f"{sid}.log"),
+                    "log_file": str(self.dir / f"{service_id}.log"),
                 },
             )
-            service_urls[sid] = f"http://127.0.0.1:{port}"
-        self.config = s.config_text(engine_urls, service_urls)
+            service_urls[service_id] = f"http://127.0.0.1:{port}"
+        self.config = spec.build_config(engine_urls, service_urls)
 
     def _start_platform(self) -> None:
-        initial = self._write("config-text", self.config)
+        initial = self._write_settings("config-text", self.config)
         port = free_port()
         self._spawn(
             "config",
@@ -195,26 +195,28 @@
             self._spawn(f"router-{i}", "router", ports[i].http, self._router_settings(i, ports))
 
     def restart(self, name: str) -> Proc:
-        """Start process ``name`` again with the settings it had."""
+        """Start process ``name`` again with the same settings."""
         old = self.procs[name]
         doc = json.loads(old.settings.read_text())
         return self._spawn(name, old.kind, doc["listen"]["port"], doc)
 
     def _router_settings(self, idx: int, ports: list[RouterPorts]) -> dict:
-        s = self.spec
+        spec = self.spec
         name = f"router-{idx}"
         return {
             "node": name,
             "zone": self.spec.zone(idx),
             "listen": {"port": ports[idx].http},
-            "peer_listen": _nng(ports[idx].heartbeat),
-            "claims_listen": _nng(ports[idx].claims),
+            "peer_listen": _nng_url(ports[idx].heartbeat),
+            "claims_listen": _nng_url(ports[idx].claims),
             "peers": [
                 {
                     "node": f"router-{j}",
                     "zone": self.spec.zone(j),
-                    "heartbeat": _nng(self._reach(name, f"router-{j}", ports[j].heartbeat)),
-                    "claims": _nng(self._reach(name, f"router-{j}", ports[j].claims)),
+                    "heartbeat": _nng_url(
+                        self._relayed_port(name, f"router-{j}", ports[j].heartbeat)
+                    ),
+                    "claims": _nng_url(self._relayed_port(name, f"router-{j}", ports[j].claims)),
                 }
                 for j in range(len(ports))
                 if j != idx
@@ -223,19 +225,19 @@
             "instances_url": self._platform_url(name, "instances"),
             "log_file": str(self.dir / f"{name}.log"),
             "assertions": True,
-            "threads": s.router_threads,
+            "threads": spec.router_threads,
             "drain_timeout_s": 20.0,
         }
 
-    def _reach(self, source: str, target: str, port: int) -> int:
-        return port if self.network is None else self.network.add(source, target, port)
+    def _relayed_port(self, source: str, target: str, port: int) -> int:
+        return port if self.network is None else self.network.add_link(source, target, port)
 
     def _platform_url(self, router: str, name: str) -> str:
         port = int(self.procs[name].url.rsplit(":", 1)[1])
-        return f"http://127.0.0.1:{self._reach(router, name, port)}"
+        return f"http://127.0.0.1:{self._relayed_port(router, name, port)}"
 
     def _spawn(self, name: str, kind: str, port: int, settings: dict) -> Proc:
-        path = self._write(name, settings)
+        path = self._write_settings(name, settings)
         args = [sys.executable, "-m", "turmerictray.cli.main"]
         args += ["serve", str(path)] if kind == "router" else ["standin", kind, str(path)]
         log = self.dir / f"{name}.stderr"
@@ -252,7 +254,7 @@
         return proc
 
     def wait_ready(self, proc: Proc, timeout: float = _READY_TIMEOUT_S) -> None:
-        """Wait until ``proc`` answers HTTP (routers: until a configuration is in force)."""
+        """Wait until ``proc`` answers HTTP (routers: until they have an active configuration)."""
         path = {
             "router": "/status",
             "engine": "/load",
@@ -260,14 +262,18 @@
             "config": "/admin/stats",
             "instances": "/instances",
         }[proc.kind]
-        self._wait(proc, path, _ready if proc.kind == "router" else None, timeout)
+        self._wait_for_answer(proc, path, _is_ready if proc.kind == "router" else None, timeout)
 
     def wait_vouching(self, proc: Proc, timeout: float = _READY_TIMEOUT_S) -> None:
-        """Wait until router ``proc`` vouches for the key of every order."""
-        self._wait(proc, "/status", _vouching, timeout)
+        """Wait until router ``proc`` knows for every order key whether it is claimed.
 
-    def _wait(
-        self, proc: Proc, path: str, test: Callable[[dict], bool] | None, timeout: float
+        Its status then reports ``vouching``. A restarted router has lost its claims and reports it
+        again once they have expired or its peers have sent it theirs.
+        """
+        self._wait_for_answer(proc, "/status", _is_vouching, timeout)
+
+    def _wait_for_answer(
+        self, proc: Proc, path: str, accepts: Callable[[dict], bool] | None, timeout: float
     ) -> None:
         deadline = time.monotonic() + timeout
         while time.monotonic() < deadline:
@@ -278,7 +284,7 @@
                 )
             try:
                 resp = self.http.request("GET", proc.url + path, timeout=1.0)
-                if resp.status == 200 and (test is None or test(json.loads(resp.data))):
+                if resp.status == 200 and (accepts is None or accepts(json.loads(resp.data))):
                     return
             except urllib3.exceptions.HTTPError:
                 pass
@@ -290,22 +296,30 @@
         self.procs[name].popen.send_signal(signum)
 
     def kill(self, name: str) -> None:
-        """Kill process ``name`` without warning and wait until it is gone."""
+        """Kill process ``name`` with SIGKILL and wait for its end."""
         self.signal(name, signal.SIGKILL)
         self.procs[name].popen.wait(10)
 
-    def cut(self, names: set[str], others: set[str]) -> None:
-        """Cut ``names`` (routers) off from ``others`` (routers, ``config``, ``instances``)."""
-        self.network.cut(names, others)
+    def partition(self, names: set[str], remote_names: set[str]) -> None:
+        """Partition routers from other processes.
+
+        Parameters
+        ----------
+        names : set of str
+            Routers.
+        remote_names : set of str
+            Routers, ``config`` or ``instances``.
+        """
+        self.network.partition(names, remote_names)
 
-    def heal(self) -> None:
-        """End every cut."""
-        self.network.heal()
+    def restore_network(self) -> None:
+        """End all partitions."""
+        self.network.restore_all()
 
     def stop(self) -> None:
-        """SIGTERM everything, then SIGKILL what is left after a few seconds."""
+        """Send SIGTERM to all processes, and SIGKILL to those still running after 10 s."""
         if self.network is not None:
-            self.network.heal()
+            self.network.restore_all()
         for proc in self.procs.values():
             if proc.popen.poll() is None:
                 try:
@@ -327,20 +341,20 @@
     # -- helpers for tests and the load tool ----------------------------------------------
 
     def routers(self) -> list[Proc]:
-        """The router processes, in order."""
+        """Return the router processes, sorted by name."""
         return [p for n, p in sorted(self.procs.items()) if p.kind == "router"]
 
     def engines(self) -> list[Proc]:
-        """The engine processes, in order."""
+        """Return the engine processes, sorted by name."""
         return [p for n, p in sorted(self.procs.items()) if p.kind == "engine"]
 
     def get_json(self, name: str, path: str) -> dict:
-        """GET ``path`` of process ``name`` as JSON."""
+        """Send a GET request for ``path`` to process ``name`` and return the decoded JSON."""
         resp = self.http.request("GET", self.procs[name].url + path, timeout=5.0)
         return json.loads(resp.data)
 
     def post_json(self, name: str, path: str, doc: object) -> dict:
-        """POST JSON to ``path`` of process ``name``."""
+        """Send ``doc`` as JSON in a POST request to process ``name``; return the decoded answer."""
         resp = self.http.request(
             "POST",
             self.procs[name].url + path,
@@ -351,5 +365,5 @@
         return json.loads(resp.data) if resp.data else {}
 
     def logs(self) -> list[Path]:
-        """Every process's log file."""
+        """Return the log files of all processes."""
         return sorted(self.dir.glob("*.log"))
--- a/turmerictray/loadtool/log_cost.py
+++ b/turmerictray/loadtool/log_cost.py
@@ -1,4 +1,4 @@
-"""What a request's log line costs a router."""
+"""Measurement of the processor time of a router's request log lines."""
 
 import os
 import time
@@ -9,8 +9,8 @@
 from turmerictray.core.log_sink import LineBudget, StdoutSink
 from turmerictray.core.logs import format_event
 
-_LINES = 4000
-_FIELDS = {
+_LINE_COUNT = 4000
+_SAMPLE_FIELDS = {
     "req": "9c41d07be2a35f68",
     "team": "depot",
     "route": "route-plan",
@@ -36,16 +36,16 @@
 
 @dataclass(frozen=True)
 class LogCost:
-    """Processor time of log lines.
+    """Processor time of request log lines.
 
     Attributes
     ----------
     line_s : float
-        Processor seconds for one line, from the call to the write.
+        Processor seconds of one line, from the log call to the write.
     left_out_s : float
-        The same for a line that the budget leaves out.
+        The same for a line that is dropped because the line budget is used up.
     most_lines_per_s : int
-        Lines of requests that a process writes in a second at most.
+        Largest number of request lines that a process writes per second.
     """
 
     line_s: float
@@ -53,37 +53,37 @@
     most_lines_per_s: int
 
     @property
-    def most_core_share(self) -> float:
-        """Part of a core that lines of requests take at most, while none is left out."""
+    def max_core_fraction(self) -> float:
+        """Largest fraction of a core used for request lines, not counting dropped ones."""
         return self.line_s * self.most_lines_per_s
 
 
 def measure_log_cost() -> LogCost:
-    """Write lines as a router does, to a place that takes all, and count the processor time."""
+    """Write request lines to the null device as a router does and measure processor time."""
     budget = LineBudget()
-    most = sum(budget.limits.values())
+    max_lines = sum(budget.limits.values())
     fd = os.open(os.devnull, os.O_WRONLY)
     sink = StdoutSink(fd)
     logger.remove()
     handler = logger.add(sink, format="{message}", level="INFO", catch=False)
     try:
-        begun = time.process_time()
-        for number in range(_LINES):
-            logger.info(format_event("request", _FIELDS))
-            if number % most == 0:
-                time.sleep(0.01)  # Lets the writer catch up, as it does in a second of real load.
+        started = time.process_time()
+        for number in range(_LINE_COUNT):
+            logger.info(format_event("request", _SAMPLE_FIELDS))
+            if number % max_lines == 0:
+                time.sleep(0.01)  # Let the writer thread catch up, as it can under real load.
         sink.close()
-        line_s = (time.process_time() - begun) / _LINES
+        line_s = (time.process_time() - started) / _LINE_COUNT
     finally:
         logger.remove(handler)
         os.close(fd)
-    return LogCost(line_s, _left_out_cost(budget), most)
+    return LogCost(line_s, _measure_left_out_cost(budget), max_lines)
 
 
-def _left_out_cost(budget: LineBudget) -> float:
+def _measure_left_out_cost(budget: LineBudget) -> float:
     while budget.try_spend(failed=False):
         pass
-    begun = time.process_time()
-    for _ in range(_LINES):
+    started = time.process_time()
+    for _ in range(_LINE_COUNT):
         budget.try_spend(failed=False)
-    return (time.process_time() - begun) / _LINES
+    return (time.process_time() - started) / _LINE_COUNT
--- a/turmerictray/loadtool/orders.py
+++ b/turmerictray/loadtool/orders.py
@@ -1,4 +1,4 @@
-"""Callers that book orders and, told that one failed, book it again through another router."""
+"""Callers that send orders (non-idempotent requests) and retry failed ones through any router."""
 
 import random
 import threading
@@ -8,12 +8,12 @@
 import msgspec
 import urllib3
 
-_TRIES = 4
-_PAUSE_S = 0.3
+_MAX_ATTEMPTS = 4
+_MAX_PAUSE_S = 0.3
 
 
 class OrderAnswer(msgspec.Struct, frozen=True):
-    """One answer to one try: HTTP status (0 for a broken connection) and error type."""
+    """Answer to one attempt: HTTP status (0 for a connection error) and error type."""
 
     status: int
     error: str
@@ -21,7 +21,7 @@
 
 @dataclass
 class OrderTrial:
-    """Every try of one order."""
+    """The answers to all attempts of one order."""
 
     key: str
     answers: list[OrderAnswer] = field(default_factory=list)
@@ -36,7 +36,7 @@
 
 
 def send_order(http: urllib3.PoolManager, url: str, team: str, key: str) -> OrderAnswer:
-    """Book one order through the router at ``url``."""
+    """Send one order through the router at ``url``."""
     try:
         resp = http.request(
             "POST",
@@ -52,15 +52,15 @@
 
 
 class OrderCaller:
-    """Books one order after another until stopped, each at random routers.
+    """Sends one order after another, each through random routers, until stopped.
 
     Parameters
     ----------
     urls : list of str
-        The routers.
+        Base URLs of the routers.
     team : str
     name : str
-        Prefix of the keys.
+        Prefix of the idempotency keys.
     seed : int
     """
 
@@ -72,11 +72,11 @@
         self._thread = threading.Thread(target=self._run, name=name, daemon=True)
 
     def start(self) -> None:
-        """Begin booking."""
+        """Start sending orders."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Finish the order in hand and stop."""
+        """Stop after the current order."""
         self._stop.set()
         self._thread.join(60)
 
@@ -85,15 +85,15 @@
         while not self._stop.is_set():
             trial = OrderTrial(f"{self.name}-{len(self.trials)}")
             self.trials.append(trial)
-            self._book(http, trial)
-            time.sleep(self._rng.uniform(0, _PAUSE_S))
+            self._send_with_retries(http, trial)
+            time.sleep(self._rng.uniform(0, _MAX_PAUSE_S))
 
-    def _book(self, http: urllib3.PoolManager, trial: OrderTrial) -> None:
-        # A careless caller: it repeats after "unknown" too, which is where a copy could run.
-        for _ in range(_TRIES):
+    def _send_with_retries(self, http: urllib3.PoolManager, trial: OrderTrial) -> None:
+        # Retry also when the outcome is unknown: in this case an order could run twice.
+        for _ in range(_MAX_ATTEMPTS):
             url = self._rng.choice(self.urls)
             answer = send_order(http, url, self.team, trial.key)
             trial.answers.append(answer)
             if answer.status == 200:
                 return
-            time.sleep(self._rng.uniform(0, _PAUSE_S))
+            time.sleep(self._rng.uniform(0, _MAX_PAUSE_S))
--- a/turmerictray/loadtool/report.py
+++ b/turmerictray/loadtool/report.py
@@ -1,4 +1,4 @@
-"""Printing and plotting what an experiment or the bench measured."""
+"""Text and plots of the results of an experiment or of the capacity bench."""
 
 from pathlib import Path
 
@@ -7,9 +7,9 @@
 
 
 def format_results(res: Results) -> str:
-    """A short table of the run's figures."""
+    """Format the results of a run as a short table."""
     lines = [
-        f"answers: {res.whole_answers} whole, {res.broken_answers} broken, "
+        f"answers: {res.complete_answers} whole, {res.incomplete_answers} broken, "
         f"{res.refused} refused",
         "service per unit of weight (tokens): "
         + ", ".join(f"{team}={value:.0f}" for team, value in sorted(res.service.items())),
@@ -21,7 +21,7 @@
 
 
 def plot_series(res: Results, path: str) -> None:
-    """Write a PNG of service per team, utilisation and control bytes over the measured window.
+    """Plot service per team, utilisation and control bytes over the measured window as a PNG.
 
     Raises
     ------
@@ -43,7 +43,7 @@
 
 
 def plot_control(res: BenchResults, path: str) -> None:
-    """Write a PNG of idle control traffic per router against the fleet's size.
+    """Plot idle control traffic per router against the fleet size as a PNG.
 
     Raises
     ------
--- a/turmerictray/loadtool/scrape.py
+++ b/turmerictray/loadtool/scrape.py
@@ -1,4 +1,4 @@
-"""Reading a router's metrics page."""
+"""Reading of a router's metrics endpoint."""
 
 import urllib3
 from prometheus_client.parser import text_string_to_metric_families
@@ -7,14 +7,14 @@
 
 
 def control_bytes(url: str, **labels: str) -> float:
-    """Control bytes a router counted since its start.
+    """Return the control bytes that a router has counted since its start.
 
     Parameters
     ----------
     url : str
         The router's base URL.
     **labels
-        Only count samples with these labels (``channel``, ``direction``).
+        Count only samples with these label values (``channel``, ``direction``).
 
     Returns
     -------
--- a/turmerictray/platform/soak/fault_injector.py
+++ b/turmerictray/platform/soak/fault_injector.py
@@ -10,8 +10,8 @@
 from dataclasses import replace
 
 from turmerictray.core.logs import log_event
-from turmerictray.loadtool.agenda import Agenda
-from turmerictray.loadtool.relay import Way
+from turmerictray.loadtool.event_schedule import EventSchedule
+from turmerictray.loadtool.relay import Direction
 from turmerictray.platform.soak.crashing_requests import CrashingRequestSender
 from turmerictray.platform.soak.record import (
     Disturbance,
@@ -87,9 +87,9 @@
         self._worker_numbers = itertools.count(1)
         self._unavailable: set[str] = set()
         self._sender_threads: list[threading.Thread] = []
-        self._timer = Agenda()
+        self._timer = EventSchedule()
         for fault in schedule:
-            self._timer.at(fault.start_s, lambda fault=fault: self._inject(fault))
+            self._timer.run_at(fault.start_s, lambda fault=fault: self._inject(fault))
 
     def start(self) -> None:
         """Start the schedule."""
@@ -98,7 +98,7 @@
     def finish(self) -> None:
         """Wait for the end of the schedule and undo all faults."""
         self._timer.finish()
-        self.deployment.network.heal()
+        self.deployment.network.restore_all()
         for thread in self._sender_threads:
             thread.join()
         self.deployment.store.store.trouble = StoreTrouble.NONE
@@ -145,7 +145,7 @@
         self._unavailable.add(router.name)
         terminate()
         self._record_disturbance(router.name, fault)
-        self._timer.after(
+        self._timer.run_after(
             min(fault.duration_s, _RESTART_DELAY_S), lambda: self._restart_router(router)
         )
 
@@ -166,7 +166,7 @@
 
     def _await_exit(self, router: LocalRouter, was_ready: bool, deadline: float) -> None:
         if router.exit_code is None and time.monotonic() < deadline:
-            self._timer.after(
+            self._timer.run_after(
                 _RESTART_DELAY_S, lambda: self._await_exit(router, was_ready, deadline)
             )
             return
@@ -181,7 +181,7 @@
         self._unavailable.add(router.name)
         router.signal(signal.SIGSTOP)
         self._record_disturbance(router.name, fault)
-        self._timer.after(fault.duration_s, lambda: self._resume(router))
+        self._timer.run_after(fault.duration_s, lambda: self._resume(router))
 
     def _resume(self, router: LocalRouter) -> None:
         router.signal(signal.SIGCONT)
@@ -198,7 +198,9 @@
         store = self.deployment.store.store
         store.trouble = _STORE_TROUBLE[fault.kind]
         self._record_disturbance("store", fault)
-        self._timer.after(fault.duration_s, lambda: setattr(store, "trouble", StoreTrouble.NONE))
+        self._timer.run_after(
+            fault.duration_s, lambda: setattr(store, "trouble", StoreTrouble.NONE)
+        )
 
     def _compact_store(self, fault: ScheduledFault) -> None:
         self.deployment.store.store.compact()
@@ -209,11 +211,11 @@
         name = routers[fault.random_number % len(routers)].name
         network = self.deployment.network
         if fault.kind is FaultKind.STORE_CUT:
-            network.cut({name}, {"store"})
+            network.partition({name}, {"store"})
         else:
             network.delay({name}, {"store"}, _LINK_DELAY_S)
         self._record_disturbance("store", fault)
-        self._timer.after(fault.duration_s, lambda: network.mend({name}, {"store"}))
+        self._timer.run_after(fault.duration_s, lambda: network.restore_links({name}, {"store"}))
 
     def _restore_store(self, fault: ScheduledFault) -> None:
         store = self.deployment.store.store
@@ -222,8 +224,8 @@
         self._record_disturbance(
             "store", replace(fault, duration_s=fault.duration_s + _REWRITE_DELAY_S)
         )
-        self._timer.after(_STORE_OUTAGE_S, lambda: setattr(store, "trouble", StoreTrouble.NONE))
-        self._timer.after(_REWRITE_DELAY_S, self._rewrite_items)
+        self._timer.run_after(_STORE_OUTAGE_S, lambda: setattr(store, "trouble", StoreTrouble.NONE))
+        self._timer.run_after(_REWRITE_DELAY_S, self._rewrite_items)
 
     def _rewrite_items(self) -> None:
         """Write items that the backup may lack, as operators and workers do; remove stale ones."""
@@ -247,7 +249,7 @@
         self.deployment.store.store.put_bytes("op/config", b'{"version": "none", "routes": 7}')
         # The store keeps only the newest configuration. If all routers are killed while it is
         # invalid, none of them can start, so a valid one follows.
-        self._timer.after(fault.duration_s, lambda: self._publish(fault))
+        self._timer.run_after(fault.duration_s, lambda: self._publish(fault))
 
     # -- workers and callers -------------------------------------------------------------------
 
@@ -262,14 +264,16 @@
             network.delay(*ends, _LINK_DELAY_S)
         else:
             back_only = fault.kind is FaultKind.WORKER_CUT_BACK
-            network.cut(*ends, (Way.BACK,) if back_only else tuple(Way))
+            network.partition(*ends, (Direction.BACKWARD,) if back_only else tuple(Direction))
         self._record_disturbance("worker", fault)
-        self._timer.after(fault.duration_s, lambda: network.mend(*ends))
+        self._timer.run_after(fault.duration_s, lambda: network.restore_links(*ends))
 
     def _break_worker_connections(self, fault: ScheduledFault) -> None:
         network = self.deployment.network
         break_connections = (
-            network.silence if fault.kind is FaultKind.WORKER_SILENCED else network.reset
+            network.stall_connections
+            if fault.kind is FaultKind.WORKER_SILENCED
+            else network.reset_connections
         )
         break_connections({"routers"}, {self._select_worker(fault).id})
         self._record_disturbance("worker", fault)
@@ -287,18 +291,18 @@
         self.record.retired_workers[worker.id] = RetiredWorker(
             worker.id, time.monotonic(), crashed=False
         )
-        self._timer.after(_LEAVING_S, lambda: self._remove_worker(worker))
+        self._timer.run_after(_LEAVING_S, lambda: self._remove_worker(worker))
 
     def _crash_worker(self, fault: ScheduledFault) -> None:
         worker = self._select_worker(fault)
         self._start_replacement(worker)
         worker.stop()
-        self.deployment.network.reset({"routers"}, {worker.id})
+        self.deployment.network.reset_connections({"routers"}, {worker.id})
         self.record.retired_workers[worker.id] = RetiredWorker(
             worker.id, time.monotonic(), crashed=True
         )
         self._record_disturbance("worker", fault)
-        self._timer.after(fault.duration_s, lambda: self.deployment.withdraw(worker))
+        self._timer.run_after(fault.duration_s, lambda: self.deployment.withdraw(worker))
 
     def _add_workers(self, fault: ScheduledFault) -> None:
         serving = [w for w in self.deployment.workers if w.id not in self.record.retired_workers]
@@ -334,7 +338,7 @@
                 self.record.retired_workers[worker.id] = RetiredWorker(worker.id, now, crashed=True)
                 self.record.disturbances.append(Disturbance("worker", now, now))
                 self._start_replacement(worker)
-                self._timer.after(
+                self._timer.run_after(
                     _ENTRY_EXPIRY_S, lambda worker=worker: self.deployment.withdraw(worker)
                 )
 
@@ -358,10 +362,10 @@
         network, ends = self.deployment.network, ({"callers"}, {name})
         self._record_disturbance(name, fault)
         if fault.kind is FaultKind.CALLERS_RESET:
-            network.reset(*ends)
+            network.reset_connections(*ends)
             return
         network.delay(*ends, _LINK_DELAY_S)
-        self._timer.after(fault.duration_s, lambda: network.mend(*ends))
+        self._timer.run_after(fault.duration_s, lambda: network.restore_links(*ends))
 
 
 _ACTIONS: dict[FaultKind, Callable[[FaultInjector, ScheduledFault], None]] = {
--- a/turmerictray/platform/standins/local.py
+++ b/turmerictray/platform/standins/local.py
@@ -302,7 +302,7 @@
         link = (source, target, address)
         if link not in self._relayed_addresses:
             host, _, port = address.rpartition(":")
-            relay_port = self.network.add(source, target, int(port), host)
+            relay_port = self.network.add_link(source, target, int(port), host)
             self._relayed_addresses[link] = f"127.0.0.1:{relay_port}"
         return self._relayed_addresses[link]
 
--- a/turmerictray/standins/__init__.py
+++ b/turmerictray/standins/__init__.py
@@ -1,6 +1,6 @@
-"""Stand-ins for the platform's systems, each run as its own process.
+"""Stand-ins: emulated systems that routers talk to, each run as a process.
 
-They speak the protocols the router meets in production (OpenAI-style HTTP for engines, JSON
-over HTTP for plain services, conditional long-poll reads for the configuration service) and
-add ``/admin/...`` calls so tests can inject faults and read what happened.
+They use the same protocols as in production (OpenAI-style HTTP for engines, JSON over HTTP for
+plain services, conditional long polling for the configuration service) and add ``/admin/...``
+calls with which tests inject faults and read statistics.
 """
--- a/turmerictray/standins/batcher.py
+++ b/turmerictray/standins/batcher.py
@@ -1,6 +1,6 @@
-"""The engine stand-in's scheduler: fixed slots, arrival order, prefix cache, lagged load.
+"""Scheduler of the emulated engine: fixed slots, prefix cache, load that is reported late.
 
-Like a real engine it knows no priorities: requests take free slots in the order they arrive.
+As in a real engine there are no priorities: requests take free slots in the order of arrival.
 """
 
 import threading
@@ -14,7 +14,7 @@
 
 
 class Fault(Enum):
-    """Faults the engine can be told to inject into coming requests."""
+    """Faults that can be injected into the next requests."""
 
     NONE = "none"
     SLOW = "slow"
@@ -26,7 +26,7 @@
 
 @dataclass
 class Slot:
-    """A granted slot: what the request thread needs to run."""
+    """A granted slot, with what the thread of the request needs to run it."""
 
     req_id: str
     cached_tokens: int
@@ -36,6 +36,8 @@
 
 @dataclass
 class Admit:
+    """Request for a slot; ``reply`` receives the :class:`Slot`."""
+
     req_id: str
     prefix_key: str
     prompt_tokens: int
@@ -44,6 +46,8 @@
 
 @dataclass
 class Release:
+    """Return of a slot, with the tokens and the seconds that the request used."""
+
     req_id: str
     team: str
     tokens: int
@@ -52,46 +56,62 @@
 
 @dataclass
 class Cancel:
+    """Cancellation of a running or waiting request; answered with whether it was running."""
+
     req_id: str
 
 
 @dataclass
 class SetFault:
+    """Injection of ``mode`` into the next ``count`` requests, or into all when negative."""
+
     mode: Fault
     count: int
 
 
 @dataclass
 class Order:
+    """Model order with its fencing number; answered with (accepted, highest fencing number)."""
+
     fence: int
     action: str
     models: list[str]
 
 
 class ModelsQuery:
+    """Query of the loaded models and the highest fencing number."""
+
     pass
 
 
 class LoadQuery:
+    """Query of the lagged load: running and waiting requests, and its age in seconds."""
+
     pass
 
 
 class StatsQuery:
+    """Query of the counters, as a dict."""
+
     pass
 
 
-_LOAD_SAMPLE_S = 0.05
+_LOAD_SAMPLE_INTERVAL_S = 0.05
 
 
 class Batcher(BackgroundActor):
-    """Owns the engine's slots, waiting line, prefix cache and counters.
+    """Actor that owns the slots, the request queue, the prefix cache and the counters.
 
     Parameters
     ----------
     slots : int
+        Requests that run at the same time.
     cache_entries : int
+        Size of the prefix cache; 0 disables it.
     load_lag_s : float
+        Minimum age of the reported load, in seconds.
     check_fencing : bool
+        Whether to refuse model orders with an outdated fencing number.
     """
 
     def __init__(
@@ -116,47 +136,51 @@
         self.samples: deque[tuple[float, int, int]] = deque(maxlen=4096)
 
     def on_receive(self, msg: object) -> object:
-        self._sample()
+        self._sample_load()
         if isinstance(msg, Admit):
             self.waiting.append(msg)
-            self._fill()
+            self._fill_slots()
         elif isinstance(msg, Release):
             self.running.pop(msg.req_id, None)
             self.tokens[msg.team] = self.tokens.get(msg.team, 0) + msg.tokens
             self.busy_s += msg.busy_s
-            self._fill()
+            self._fill_slots()
         elif isinstance(msg, Cancel):
             slot = self.running.get(msg.req_id)
             if slot is not None:
                 slot.cancel.set()
-            self.waiting = deque(a for a in self.waiting if a.req_id != msg.req_id)
+            self.waiting = deque(
+                admission for admission in self.waiting if admission.req_id != msg.req_id
+            )
             return slot is not None
         elif isinstance(msg, SetFault):
             self.fault, self.fault_count = msg.mode, msg.count
         elif isinstance(msg, Order):
-            return self._order(msg)
+            return self._apply_order(msg)
         elif isinstance(msg, ModelsQuery):
             return list(self.models), self.fence
         elif isinstance(msg, LoadQuery):
             return self._lagged_load()
         elif isinstance(msg, StatsQuery):
-            return self._stats()
+            return self._build_stats()
         return None
 
-    def _fill(self) -> None:
+    def _fill_slots(self) -> None:
         while self.waiting and len(self.running) < self.slots:
-            adm = self.waiting.popleft()
-            hit = adm.prefix_key in self.cache
-            if hit:
-                self.cache.move_to_end(adm.prefix_key)
+            admission = self.waiting.popleft()
+            cache_hit = admission.prefix_key in self.cache
+            if cache_hit:
+                self.cache.move_to_end(admission.prefix_key)
             elif self.cache_entries:
-                self.cache[adm.prefix_key] = None
+                self.cache[admission.prefix_key] = None
                 while len(self.cache) > self.cache_entries:
                     self.cache.popitem(last=False)
-            slot = Slot(adm.req_id, adm.prompt_tokens if hit else 0, self._take_fault())
-            self.running[adm.req_id] = slot
-            self.executions[adm.req_id] = self.executions.get(adm.req_id, 0) + 1
-            adm.reply.set_result(slot)
+            slot = Slot(
+                admission.req_id, admission.prompt_tokens if cache_hit else 0, self._take_fault()
+            )
+            self.running[admission.req_id] = slot
+            self.executions[admission.req_id] = self.executions.get(admission.req_id, 0) + 1
+            admission.reply.set_result(slot)
 
     def _take_fault(self) -> Fault:
         if self.fault is Fault.NONE or self.fault_count == 0:
@@ -165,7 +189,7 @@
             self.fault_count -= 1
         return self.fault
 
-    def _order(self, msg: Order) -> tuple[bool, int]:
+    def _apply_order(self, msg: Order) -> tuple[bool, int]:
         if self.check_fencing and msg.fence < self.fence:
             return False, self.fence
         self.fence = max(self.fence, msg.fence)
@@ -174,27 +198,27 @@
             self.models = list(msg.models)
         return True, self.fence
 
-    def _sample(self) -> None:
+    def _sample_load(self) -> None:
         now = time.monotonic()
-        if not self.samples or now - self.samples[-1][0] >= _LOAD_SAMPLE_S:
+        if not self.samples or now - self.samples[-1][0] >= _LOAD_SAMPLE_INTERVAL_S:
             self.samples.append((now, len(self.running), len(self.waiting)))
 
     def _lagged_load(self) -> tuple[int, int, float]:
         now = time.monotonic()
-        self._sample()
-        for ts, running, waiting in reversed(self.samples):
-            if now - ts >= self.load_lag_s:
-                return running, waiting, now - ts
-        ts, running, waiting = self.samples[0]
-        return running, waiting, now - ts
-
-    def _stats(self) -> dict:
-        wall = time.monotonic() - self.started
+        self._sample_load()
+        for sampled_at, running, waiting in reversed(self.samples):
+            if now - sampled_at >= self.load_lag_s:
+                return running, waiting, now - sampled_at
+        sampled_at, running, waiting = self.samples[0]
+        return running, waiting, now - sampled_at
+
+    def _build_stats(self) -> dict:
+        uptime_s = time.monotonic() - self.started
         return {
             "executions": dict(self.executions),
             "tokens": dict(self.tokens),
             "busy_slot_s": self.busy_s,
-            "wall_s": wall,
+            "wall_s": uptime_s,
             "slots": self.slots,
             "running": len(self.running),
             "waiting": len(self.waiting),
--- a/turmerictray/standins/configsvc.py
+++ b/turmerictray/standins/configsvc.py
@@ -1,15 +1,18 @@
-"""The configuration service stand-in: read and watch of one versioned JSON text.
-
-The platform stamps each published text with the next revision, as its ``version`` field and
-as the ``ETag``. Readers call ``GET /config``; with ``If-None-Match: "<v>"`` and ``?wait=S`` the
-call is held until a newer revision exists or ``S`` seconds pass (304). ``?revision=n`` reads
-an earlier revision: the service keeps its history, read-only. All reads together are
-limited to ``reads_per_s`` (429 with ``Retry-After`` beyond it). Nothing is written by readers.
-
-Admin calls (for tests and the demo): ``POST /admin/publish`` with a text (any JSON object,
-valid for the router or not), ``POST /admin/mode`` with ``{"mode": "ok|down|stale"}``: ``down``
-answers 503 to every read, ``stale`` keeps answering one revision (``"revision": n``, by
-default the current one), as a replica that fell behind would.
+"""The emulated configuration service: a versioned JSON document with long-polling reads.
+
+Each published configuration receives the next revision number, as its ``version`` field and as the
+``ETag``. Readers call ``GET /config``. With ``If-None-Match: "<v>"`` and ``?wait=S`` the answer is
+delayed until there is another revision, or until ``S`` seconds have passed (304). ``?revision=n``
+reads an earlier revision; all revisions are kept. Reads of all clients together are limited to
+``reads_per_s``; beyond that they are refused with 429 and ``Retry-After``. Reads change nothing.
+
+Admin calls for tests and the demo:
+
+``POST /admin/publish``
+    Publishes a configuration: any JSON object, whether valid for the router or not.
+``POST /admin/mode``
+    ``{"mode": "ok|down|stale"}``: ``down`` answers reads with 503; ``stale`` answers them with a
+    fixed revision (``"revision": n``, by default the current one), as a lagging replica does.
 """
 
 import threading
@@ -25,20 +28,20 @@
 
 
 class TokenBucket:
-    """A shared read-rate limit: ``rate`` per second with a burst of one second's worth."""
+    """A rate limit of ``rate`` reads per second, with bursts of up to one second's reads."""
 
     def __init__(self, rate: float) -> None:
         self.rate = rate
         self.tokens = rate
-        self.stamp = time.monotonic()
+        self.refilled_at = time.monotonic()
         self.lock = threading.Lock()
 
     def take(self) -> bool:
-        """Spend one read; False when the rate is used up."""
+        """Take one token; return False when none is left."""
         with self.lock:
             now = time.monotonic()
-            self.tokens = min(self.rate, self.tokens + (now - self.stamp) * self.rate)
-            self.stamp = now
+            self.tokens = min(self.rate, self.tokens + (now - self.refilled_at) * self.rate)
+            self.refilled_at = now
             if self.tokens < 1:
                 return False
             self.tokens -= 1
@@ -46,14 +49,14 @@
 
 
 class ConfigService:
-    """Handlers of the configuration service stand-in."""
+    """HTTP handlers of the emulated configuration service."""
 
     def __init__(self, cfg: ConfigServiceSettings, initial: bytes) -> None:
         self.bucket = TokenBucket(cfg.reads_per_s)
         self.changed = threading.Condition()
         self.revisions: list[bytes] = []
         self.mode = "ok"
-        self.stale_at = 0
+        self.stale_revision = 0
         self.reads = 0
         self._publish(initial)
         self.app = WebApp()
@@ -65,7 +68,7 @@
     def _publish(self, text: bytes) -> int:
         doc = msgspec.json.decode(text)
         if not isinstance(doc, dict):
-            raise ValueError("a configuration text is a JSON object")
+            raise ValueError("a configuration must be a JSON object")
         with self.changed:
             version = len(self.revisions) + 1
             doc["version"] = version
@@ -74,10 +77,11 @@
         log_event("config_published", version=version, size=len(text))
         return version
 
-    def _visible(self) -> int:
-        return self.stale_at if self.mode == "stale" else len(self.revisions)
+    def _visible_revision(self) -> int:
+        return self.stale_revision if self.mode == "stale" else len(self.revisions)
 
     def read(self, call: Call) -> Reply:
+        """Answer ``GET /config``."""
         if not self.bucket.take():
             return json_reply({"error": {"type": "rate_limited"}}, 429, [("Retry-After", "1")])
         self.reads += 1
@@ -85,31 +89,33 @@
             return json_reply({"error": {"type": "down"}}, 503)
         if "revision" in call.query:
             return self._read_revision(int(call.query["revision"]))
-        known = call.headers.get("if-none-match", "").strip('"')
+        known_version = call.headers.get("if-none-match", "").strip('"')
         wait = min(float(call.query.get("wait", 0)), _MAX_WAIT_S)
         deadline = time.monotonic() + wait
         with self.changed:
-            while known == str(self._visible()) and time.monotonic() < deadline:
+            while known_version == str(self._visible_revision()) and time.monotonic() < deadline:
                 self.changed.wait(deadline - time.monotonic())
             if self.mode == "down":
                 return json_reply({"error": {"type": "down"}}, 503)
-            version = self._visible()
-            if known == str(version):
+            version = self._visible_revision()
+            if known_version == str(version):
                 return Reply(304, b"", [("ETag", f'"{version}"')])
             text = self.revisions[version - 1]
         return Reply(200, text, [("ETag", f'"{version}"')])
 
     def _read_revision(self, revision: int) -> Reply:
         with self.changed:
-            if not 1 <= revision <= self._visible():
+            if not 1 <= revision <= self._visible_revision():
                 return json_reply({"error": {"type": "no_revision"}}, 404)
             text = self.revisions[revision - 1]
         return Reply(200, text, [("ETag", f'"{revision}"')])
 
     def publish(self, call: Call) -> Reply:
+        """Answer ``POST /admin/publish``."""
         return json_reply({"version": self._publish(call.body)})
 
     def set_mode(self, call: Call) -> Reply:
+        """Answer ``POST /admin/mode``."""
         doc = call.json()
         mode = doc["mode"]
         if mode not in ("ok", "down", "stale"):
@@ -119,13 +125,14 @@
                 revision = int(doc.get("revision", len(self.revisions)))
                 if not 1 <= revision <= len(self.revisions):
                     raise ValueError(f"no revision {revision}")
-                self.stale_at = revision
+                self.stale_revision = revision
             self.mode = mode
             self.changed.notify_all()
         log_event("config_service_mode", mode=mode)
         return json_reply({"mode": mode})
 
     def stats(self, call: Call) -> Reply:
+        """Answer ``GET /admin/stats``."""
         return json_reply(
             {"reads": self.reads, "revisions": len(self.revisions), "mode": self.mode}
         )
--- a/turmerictray/standins/instances.py
+++ b/turmerictray/standins/instances.py
@@ -1,8 +1,8 @@
-"""The instance list stand-in: which targets are live and which are leaving, published late.
+"""The emulated instance list: the state of each target, published with a delay.
 
-``GET /instances`` answers ``{"instances": [{"id": ..., "state": "live|leaving|gone"}]}`` as
-the list stood ``lag_s`` seconds ago. ``POST /admin/set`` with ``{"id": ..., "state": ...}``
-changes an entry (seen by readers only after the lag).
+``GET /instances`` answers ``{"instances": [{"id": ..., "state": "live|leaving|gone"}]}``, the
+list of ``lag_s`` seconds ago. ``POST /admin/set`` with ``{"id": ..., "state": ...}`` changes an
+entry; readers see the change after ``lag_s`` seconds.
 """
 
 import threading
@@ -16,7 +16,7 @@
 
 
 class InstanceListService:
-    """Handlers of the instance list stand-in."""
+    """HTTP handlers of the emulated instance list."""
 
     def __init__(self, cfg: InstanceListSettings) -> None:
         self.lag_s = cfg.lag_s
@@ -27,15 +27,17 @@
         self.app.route("POST", "/admin/set", self.set_state)
 
     def read(self, call: Call) -> Reply:
+        """Answer ``GET /instances``."""
         cutoff = time.monotonic() - self.lag_s
         states: dict[str, str] = {}
         with self.lock:
-            for ts, tid, state in self.changes:
-                if ts <= cutoff:
-                    states[tid] = state
+            for changed_at, target_id, state in self.changes:
+                if changed_at <= cutoff:
+                    states[target_id] = state
         return json_reply({"instances": [{"id": k, "state": v} for k, v in states.items()]})
 
     def set_state(self, call: Call) -> Reply:
+        """Answer ``POST /admin/set``."""
         doc = call.json()
         if doc["state"] not in _STATES:
             raise ValueError(f"unknown state {doc['state']!r}")
--- a/turmerictray/standins/run.py
+++ b/turmerictray/standins/run.py
@@ -1,4 +1,4 @@
-"""Running a stand-in as a process: settings file in, HTTP server up until SIGTERM."""
+"""Entry point of a stand-in process: an HTTP server that runs until SIGTERM."""
 
 import sys
 from pathlib import Path
@@ -15,16 +15,18 @@
 from turmerictray.core.logs import setup_logging
 from turmerictray.router.server import HttpServer
 
-_THREADS = 128
+_HTTP_THREADS = 128
 KINDS = ("engine", "service", "config", "instances")
 
 
-class _Stoppable:
+class _StopOnly:
+    """Adapter that lets the application stop an object that needs no start."""
+
     def __init__(self, obj) -> None:
         self.obj = obj
 
     def start(self) -> None:
-        """Nothing to open."""
+        """Do nothing."""
 
     def stop(self) -> None:
         self.obj.stop()
@@ -59,7 +61,7 @@
 
 
 def run_standin(kind: str, settings_path: str) -> int:
-    """Run one stand-in until SIGTERM; returns the exit code (2 for refused settings)."""
+    """Run a stand-in until SIGTERM and return its exit code (2 for invalid settings)."""
     try:
         cfg, handlers, name = _build(kind, settings_path)
     except SettingsError as exc:
@@ -68,6 +70,6 @@
     setup_logging(kind, name, getattr(cfg, "zone", "-"), cfg.log_file)
     app = Application(f"{kind}:{name}")
     if hasattr(handlers, "stop"):
-        app.add(_Stoppable(handlers))
-    app.add(HttpServer(cfg.listen.host, cfg.listen.port, handlers.app, _THREADS, name))
+        app.add(_StopOnly(handlers))
+    app.add(HttpServer(cfg.listen.host, cfg.listen.port, handlers.app, _HTTP_THREADS, name))
     return app.run()
--- a/turmerictray/standins/service.py
+++ b/turmerictray/standins/service.py
@@ -1,16 +1,17 @@
-"""The plain service stand-in (order-and-dispatch, booking-and-dispatch): JSON over HTTP.
+"""The emulated plain service, which executes orders (JSON over HTTP).
 
-Every ``POST`` is an order that runs once per arrival; the service counts executions per
-``Idempotency-Key`` (or ``X-Request-Id``) so tests can prove that an order ran at most once.
-It does not deduplicate on its own: proving at-most-once is the router's job.
+Every ``POST`` is an order, that is, a non-idempotent request, and is executed each time it arrives.
+The service counts executions per ``Idempotency-Key`` (or ``X-Request-Id``), so that tests can check
+that an order was executed at most once. It does not deduplicate: that is the task of the router.
 
 Calls
 -----
 ``POST /<any path>``
-    Runs the order and answers ``{"ok": true, "executions": n}``.
+    Executes the order and answers ``{"ok": true, "executions": n}``.
 ``POST /admin/fault``
-    ``{"mode": "reset|hang|fail|not_run|none", "count": n}``: ``reset`` and ``hang`` run the
-    order and then break or stall the answer; ``not_run`` refuses with ``X-Not-Run: 1``.
+    ``{"mode": "reset|hang|fail|not_run|none", "count": n}``: ``reset`` and ``hang`` execute
+    the order and then break or stall the answer; ``fail`` executes it and answers 500; ``not_run``
+    refuses it with ``X-Not-Run: 1``.
 ``GET /admin/stats``
     ``{"executions": {key: n}}``.
 """
@@ -23,11 +24,11 @@
 from turmerictray.standins.batcher import Fault
 from turmerictray.standins.web import Call, Reply, WebApp, broken_reply, json_reply
 
-_HANG_S = 3600.0
+_HANG_TIMEOUT_S = 3600.0
 
 
 class PlainService:
-    """Handlers of the plain service stand-in."""
+    """HTTP handlers of the emulated plain service."""
 
     def __init__(self, cfg: ServiceSettings) -> None:
         self.cfg = cfg
@@ -41,7 +42,7 @@
         self.app.route("POST", "/", self.run_order)
 
     def stop(self) -> None:
-        """Release stalled answers."""
+        """End stalled answers."""
         self.stopping.set()
 
     def _take_fault(self) -> Fault:
@@ -53,6 +54,7 @@
             return self.fault
 
     def run_order(self, call: Call) -> Reply:
+        """Execute an order, unless the ``not_run`` fault is active."""
         key = call.headers.get("idempotency-key") or call.headers.get("x-request-id") or "-"
         fault = self._take_fault()
         if fault is Fault.NOT_RUN:
@@ -71,17 +73,19 @@
         if fault is Fault.RESET:
             return broken_reply()
         if fault is Fault.HANG:
-            self.stopping.wait(_HANG_S)
+            self.stopping.wait(_HANG_TIMEOUT_S)
         if fault is Fault.FAIL:
             return json_reply({"error": {"type": "failed"}}, 500)
         return json_reply({"ok": True, "key": key, "executions": count})
 
     def set_fault(self, call: Call) -> Reply:
+        """Answer ``POST /admin/fault``."""
         doc = call.json()
         with self.lock:
             self.fault, self.fault_count = Fault(doc["mode"]), int(doc.get("count", -1))
         return json_reply({"fault": doc["mode"]})
 
     def stats(self, call: Call) -> Reply:
+        """Answer ``GET /admin/stats``."""
         with self.lock:
             return json_reply({"executions": dict(self.executions)})
--- a/turmerictray/standins/web.py
+++ b/turmerictray/standins/web.py
@@ -1,4 +1,4 @@
-"""A small WSGI application base for the stand-ins: routes, JSON bodies and answers."""
+"""A small WSGI framework for the stand-ins: routes, JSON requests and JSON answers."""
 
 from collections.abc import Callable, Iterable
 from http import HTTPStatus
@@ -10,7 +10,7 @@
 
 
 class Call(msgspec.Struct):
-    """One HTTP call as a handler sees it."""
+    """An HTTP request as passed to a handler."""
 
     method: str
     path: str
@@ -19,12 +19,15 @@
     body: bytes
 
     def json(self) -> object:
-        """The body decoded as JSON (None when empty)."""
+        """Return the body decoded as JSON (None when empty)."""
         return msgspec.json.decode(self.body) if self.body else None
 
 
 class Reply(msgspec.Struct):
-    """A handler's answer; ``body`` may be an iterator of chunks for streaming."""
+    """The answer of a handler; ``kind`` is its content type.
+
+    ``body`` is bytes, or an iterator of chunks for a streamed answer.
+    """
 
     status: int = 200
     body: object = b""
@@ -33,11 +36,11 @@
 
 
 class AbortAnswer(Exception):
-    """Raised inside an answer's body to break the connection mid-answer (a reset)."""
+    """Raised while a body is streamed, to reset the connection in the middle of the answer."""
 
 
 def broken_reply() -> Reply:
-    """An answer whose connection breaks after the headers and part of the body."""
+    """Build an answer whose connection is reset after the headers and a fraction of the body."""
 
     def body():
         yield b'{"partial": '
@@ -47,19 +50,19 @@
 
 
 def json_reply(doc: object, status: int = 200, headers=None) -> Reply:
-    """A JSON answer."""
+    """Build a JSON answer."""
     return Reply(status, msgspec.json.encode(doc), list(headers or []))
 
 
 class WebApp:
-    """Dispatches calls to handlers by ``(method, path)`` or by path prefix."""
+    """WSGI application that dispatches by method and path, then by path prefix."""
 
     def __init__(self) -> None:
         self.exact: dict[tuple[str, str], Handler] = {}
         self.prefixes: list[tuple[str, str, Handler]] = []
 
     def route(self, method: str, path: str, handler: Handler) -> None:
-        """Serve ``path`` (a prefix when it ends in ``/``) with ``handler``."""
+        """Register ``handler`` for ``path``, or for a path prefix when it ends in ``/``."""
         if path.endswith("/"):
             self.prefixes.append((method, path, handler))
         else:
@@ -70,7 +73,11 @@
         handler = self.exact.get((call.method, call.path))
         if handler is None:
             handler = next(
-                (h for m, p, h in self.prefixes if m == call.method and call.path.startswith(p)),
+                (
+                    handler
+                    for method, prefix, handler in self.prefixes
+                    if method == call.method and call.path.startswith(prefix)
+                ),
                 None,
             )
         if handler is None:
@@ -83,13 +90,13 @@
         headers = [("Content-Type", reply.kind), *reply.headers]
         if isinstance(reply.body, bytes):
             headers.append(("Content-Length", str(len(reply.body))))
-            start_response(_status(reply.status), headers)
+            start_response(_status_line(reply.status), headers)
             return [reply.body]
-        start_response(_status(reply.status), headers)
+        start_response(_status_line(reply.status), headers)
         return reply.body
 
 
-def _status(code: int) -> str:
+def _status_line(code: int) -> str:
     return f"{code} {HTTPStatus(code).phrase}"
 
 
