--- a/turmerictray/admission/pool.py
+++ b/turmerictray/admission/pool.py
@@ -299,7 +299,7 @@
 
     def _refusal_reason(self, pending: PendingRequest) -> str:
         work, wait = self._dispatch_order.work_ahead_of(pending), self.expected_wait_s(pending)
-        return f"wait_too_long: work ahead {round(work)}, expected wait {round(wait * 1000)} ms"
+        return f"wait_too_long: {round(work)} before it, {round(wait * 1000)} ms"
 
     def backlogged(self) -> set[TeamId]:
         """Return the teams with enough pending requests to count as backlogged."""
--- a/turmerictray/admission/quarantine.py
+++ b/turmerictray/admission/quarantine.py
@@ -112,7 +112,7 @@
                 return
             suspect.seen_at = now
         raise Quarantined(
-            f"quarantined: {digest} crashed {suspect.crash_count} targets", QUARANTINE_S
+            f"quarantined: {digest} ended {suspect.crash_count} targets", QUARANTINE_S
         )
 
     def begin_run(self, digest: RequestDigest, now: float) -> bool:
@@ -252,7 +252,7 @@
     def _remove(self, digest: RequestDigest) -> None:
         suspect = self._suspects.pop(digest)
         if suspect.is_quarantined:
-            log_event("request_released", digest=digest, reason="expired")
+            log_event("request_released", digest=digest, reason="not seen for long")
 
     def _add_targets(
         self,
--- a/turmerictray/core/metrics.py
+++ b/turmerictray/core/metrics.py
@@ -12,29 +12,27 @@
 )
 PROMPT_TOKENS = Counter(
     "turmerictray_prompt_tokens_total",
-    "Prompt tokens of requests, by team and by whether an answer began.",
+    "Prompt tokens asked for, by team and by whether an answer began.",
     ["team", "begun"],
     registry=REGISTRY,
 )
 QUEUED = Gauge("turmerictray_queued", "Requests waiting for a slot.", registry=REGISTRY)
-INFLIGHT = Gauge(
-    "turmerictray_inflight", "Requests sent to a target and not finished.", registry=REGISTRY
-)
+INFLIGHT = Gauge("turmerictray_inflight", "Requests sent and not ended.", registry=REGISTRY)
 POOL_THROUGHPUT = Gauge(
     "turmerictray_pool_pace",
-    "Throughput in prompt tokens per second that wait estimates use, by service and shard.",
+    "Prompt tokens a second by which waits are estimated, by service and shard.",
     ["service", "shard"],
     registry=REGISTRY,
 )
 ENGINES_IDLE = Gauge(
     "turmerictray_engines_idle",
-    "Engines without pending prefill work, by service and shard.",
+    "Engines with nothing to read, by service and shard.",
     ["service", "shard"],
     registry=REGISTRY,
 )
 QUARANTINED = Gauge(
     "turmerictray_quarantined",
-    "Requests that are not sent to any target because targets crashed while running them.",
+    "Requests that are sent to no target, as targets ended under them.",
     registry=REGISTRY,
 )
 CONTROL_BYTES = Counter(
@@ -45,20 +43,20 @@
 )
 QUEUE_WAIT = Histogram(
     "turmerictray_queue_wait_seconds",
-    "Time from admission of a request until a target is granted.",
+    "Time from admission to grant.",
     buckets=(0.001, 0.01, 0.05, 0.1, 0.5, 1, 2, 5, 10, 30),
     registry=REGISTRY,
 )
 REQUEST_TIME = Histogram(
     "turmerictray_request_seconds",
-    "Time from the head of a request to its final answer, by outcome.",
+    "Time from a request's head to its final answer, by outcome.",
     ["outcome"],
     buckets=(0.01, 0.05, 0.1, 0.25, 0.5, 1, 2, 5, 10, 30),
     registry=REGISTRY,
 )
 FIRST_ANSWER_TIME = Histogram(
     "turmerictray_first_answer_seconds",
-    "Time from the head of a request to the first byte of its answer, by service.",
+    "Time from a request's head to the first byte of its answer, by service.",
     ["service"],
     buckets=(0.01, 0.05, 0.1, 0.25, 0.5, 0.8, 1.2, 2, 5, 10),
     registry=REGISTRY,
@@ -70,10 +68,10 @@
     registry=REGISTRY,
 )
 CLAIMS_KEPT = Gauge(
-    "turmerictray_claims_kept", "Claims that this router stores as a replica.", registry=REGISTRY
+    "turmerictray_claims_kept", "Claims this router remembers as a home.", registry=REGISTRY
 )
 CONFIG_VERSION = Gauge(
-    "turmerictray_config_version", "Version of the active configuration.", registry=REGISTRY
+    "turmerictray_config_version", "Configuration version in force.", registry=REGISTRY
 )
 
 
--- a/turmerictray/platform/headers.py
+++ b/turmerictray/platform/headers.py
@@ -72,7 +72,7 @@
             raise CallerError(f"{_REQUEST_ID} is missing")
         if "," in request_id:
             # The values of a repeated header are joined by commas.
-            raise CallerError(f"{_REQUEST_ID} has more than one value")
+            raise CallerError(f"{_REQUEST_ID} is given twice")
         _check_connection_header(head.headers.get("Connection", ""))
         forwarded = [
             (name, val)
@@ -137,7 +137,7 @@
     """Check that ``Connection`` lists no header that the target requires."""
     for name in connection.split(","):
         if name.strip().lower() in _REQUIRED_HEADERS:
-            raise CallerError(f"Connection lists {name.strip()}, which must be forwarded")
+            raise CallerError(f"Connection names {name.strip()}")
 
 
 def _parse_api_key(authorization: str) -> str | None:
@@ -154,7 +154,7 @@
     except ValueError:
         raise CallerError(f"{_DEADLINE_MS} is not a number") from None
     if not (math.isfinite(milliseconds) and milliseconds >= 0):
-        raise CallerError(f"{_DEADLINE_MS} must be finite and not negative")
+        raise CallerError(f"{_DEADLINE_MS} is not a time")
     return milliseconds / 1000
 
 
@@ -168,4 +168,4 @@
         prompt_parts = tuple(PromptPart(PartId(name), int(tokens)) for name, _, tokens in items)
         return Prompt(prompt_parts, int(input_tokens), int(output_tokens or 0))
     except ValueError:
-        raise CallerError(f"{_TOKEN_COUNT} or {_PROMPT_PREFIX} is invalid") from None
+        raise CallerError(f"{_TOKEN_COUNT} or {_PROMPT_PREFIX} can't be read") from None
--- a/turmerictray/router/broker.py
+++ b/turmerictray/router/broker.py
@@ -473,9 +473,9 @@
     """Describe for the log why a request's queue wait timed out."""
     waited_for = request.context.last_reserved_target
     if waited_for is None:
-        return f"queue_timeout: {len(pool.queue)} other requests pending"
+        return f"queue_timeout: {len(pool.queue)} others wait"
     overdue_ms = round(waited_for.overdue_s(now) * 1000)
     return (
-        f"queue_timeout: {len(pool.queue)} other requests pending; "
-        f"waited for {waited_for.info.id}, which is {overdue_ms} ms overdue"
+        f"queue_timeout: {len(pool.queue)} others wait, "
+        f"for {waited_for.info.id} overdue {overdue_ms} ms"
     )
--- a/turmerictray/router/front.py
+++ b/turmerictray/router/front.py
@@ -145,7 +145,7 @@
         return _read_chunked_body(environ["wsgi.input"], max_bytes)
     length = int(environ.get("CONTENT_LENGTH") or "0")
     if length > max_bytes:
-        raise CallerError(f"body of {length} bytes exceeds the limit of {max_bytes} bytes", 413)
+        raise CallerError(f"body of {length} bytes is over {max_bytes}", 413)
     return environ["wsgi.input"].read(length) if length else b""
 
 
@@ -157,7 +157,7 @@
         for _ in rfile.read_trailer_lines():
             pass
     except MaxSizeExceeded as exc:
-        raise CallerError(f"body exceeds the limit of {max_bytes} bytes", 413) from exc
+        raise CallerError(f"body is over {max_bytes} bytes", 413) from exc
     except ValueError as exc:
         raise CallerError(f"body is malformed: {exc}") from exc
     return data
--- a/turmerictray/router/proxy.py
+++ b/turmerictray/router/proxy.py
@@ -153,7 +153,7 @@
             # The error of the last attempt may mean "not run", but an earlier attempt may have
             # run. "Not run" would tell the caller that the request had no effect.
             raise OutcomeUnknown(str(unknown), cfg.limits.retry_after_s) from unknown
-        raise NotSent(f"no target accepted the request in {max_attempts} attempts")
+        raise NotSent(f"no target took the request after {max_attempts} tries")
 
     def _ensure_claim(
         self, req: CallerRequest, grant: Grant, cfg: Config, holder: "_ClaimHolder"
--- a/turmerictray/router/relay.py
+++ b/turmerictray/router/relay.py
@@ -89,10 +89,10 @@
             return
         body = conn.read_body(self._routed.bounds.answer_deadline)
         if flags.not_run:
-            raise TargetBusy(f"target did not run the request: status {head.status}", 0.5)
+            raise TargetBusy(f"target did not run it: {head.status}", 0.5)
         self.outcome = Outcome.FAILED if head.status >= 500 else Outcome.DONE
         if self._progress.answer_started:
-            raise OutcomeUnknown(f"target answered {head.status} instead of resuming the stream")
+            raise OutcomeUnknown(f"a stream was answered {head.status} when it went on")
         if head.status >= 500 and not is_last_attempt:
             raise TargetFailed(head, body)
         self._relay_whole(head, body)
@@ -105,14 +105,14 @@
         if not flags.matches_request:
             raise OutcomeUnknown("the answer belongs to another request")
         if head.status < 300 and not flags.is_genuine:
-            raise OutcomeUnknown("the answer is unsigned")
+            raise OutcomeUnknown("the answer is not signed")
 
     def _relay_whole(self, head: AnswerHead, body: bytes) -> None:
         route = self._routed.route
         if head.status in _NOT_EXECUTED_STATUSES and not route.repeatable:
             # A router's callers take these statuses as a guarantee that the request was not
             # executed and send it again. The target gave no such guarantee.
-            raise OutcomeUnknown(f"target answered {head.status} and may have run the request")
+            raise OutcomeUnknown(f"target answered {head.status} and may have run it")
         self._on_answer_start()
         self._exchange.answer(head.status, self._dialect.answer_headers(head), body)
 
--- a/turmerictray/router/run.py
+++ b/turmerictray/router/run.py
@@ -129,7 +129,7 @@
             There is no further attempt and no withheld answer.
         """
         if self._call.caller_gone:
-            raise CallerGone("caller gone during an attempt") from exc
+            raise CallerGone("caller gone during a try") from exc
         left_s = self._routed.bounds.answer_deadline - time.monotonic()
         again = self._progress.allows_retry(left_s) and self._quarantine_allows_retry()
         self._log_failed_attempt(exc, left_s, again)
@@ -335,7 +335,7 @@
         now = time.monotonic()
         left_s = routed.bounds.answer_deadline - now
         if left_s <= 0:
-            raise NotSent("no time left before the request could be sent")
+            raise NotSent("no time left before sending")
         resume_after = self._progress.last_event_id if self._progress.answer_started else None
         headers = self._deps.dialect.target_headers(
             routed.envelope, granted.target, routed.team, left_s, resume_after, granted.fetch_from
--- a/turmerictray/router/upstream.py
+++ b/turmerictray/router/upstream.py
@@ -82,9 +82,9 @@
                 redirect=False,
             )
         except (NewConnectionError, ConnectTimeoutError) as exc:
-            raise NotSent(f"connection failed: {exc}") from exc
+            raise NotSent(f"connect failed: {exc}") from exc
         except HTTPError as exc:
-            raise OutcomeUnknown(f"request failed after it may have been sent: {exc}") from exc
+            raise OutcomeUnknown(f"call broke: {exc}") from exc
         if resp.status == 503 and resp.headers.get("X-Not-Run") == "1":
             data = resp.read()
             resp.release_conn()
@@ -102,7 +102,7 @@
         try:
             yield from resp.stream(_STREAM_CHUNK_BYTES, decode_content=False)
         except HTTPError as exc:
-            raise OutcomeUnknown(f"response body was interrupted: {exc}") from exc
+            raise OutcomeUnknown(f"stream broke: {exc}") from exc
         finally:
             resp.release_conn()
 
--- a/turmerictray/transport/events.py
+++ b/turmerictray/transport/events.py
@@ -53,7 +53,7 @@
             events.append(_parse_event(self._remainder[:end]))
             self._remainder = self._remainder[end:]
         if len(self._remainder) > _MAX_EVENT_BYTES:
-            raise EventTooLarge(f"event exceeds {_MAX_EVENT_BYTES} bytes")
+            raise EventTooLarge(f"an event is over {_MAX_EVENT_BYTES} bytes")
         return events
 
     @property
--- a/turmerictray/transport/exchange.py
+++ b/turmerictray/transport/exchange.py
@@ -127,10 +127,10 @@
             raise CallerError(f"body too large: {exc}", 413) from exc
         except ValueError as exc:
             self._req.close_connection = True
-            raise CallerError(f"malformed body: {exc}") from exc
+            raise CallerError(f"body is malformed: {exc}") from exc
         except OSError as exc:
             self._req.close_connection = True
-            raise CallerGone(f"could not read the body: {exc}") from exc
+            raise CallerGone(f"body not read: {exc}") from exc
 
     def _read_body(self) -> bytes:
         rfile = self._req.rfile
@@ -138,7 +138,7 @@
             length = int(self._req.inheaders.get(b"Content-Length", 0))
             data = rfile.read(length) if length else b""
             if len(data) < length:
-                raise ConnectionResetError("connection closed before the end of the body")
+                raise ConnectionResetError("body ended early")
             return data
         data = rfile.read()
         # The trailer section belongs to the body. Left unread, it would be parsed as the next
@@ -197,7 +197,7 @@
 
     def _caller_gone(self, exc: OSError) -> CallerGone:
         self.abort()
-        return CallerGone(f"could not send the answer: {exc}")
+        return CallerGone(f"answer not sent: {exc}")
 
 
 def _phrase(status: int) -> str:
--- a/turmerictray/transport/framing.py
+++ b/turmerictray/transport/framing.py
@@ -42,7 +42,7 @@
             name, value = _split_line(line)
             if name in headers:
                 if name in _SINGLE_VALUE_HEADERS:
-                    raise FramingError(f"duplicate {name.decode()} header")
+                    raise FramingError(f"{name.decode()} is given twice")
                 value = headers[name] + b", " + value
             headers[name] = value
         _check_body_framing(headers)
@@ -51,14 +51,14 @@
 
 def _split_line(line: bytes) -> tuple[bytes, bytes]:
     if not line.endswith(b"\r\n"):
-        raise FramingError("header line does not end with CRLF")
+        raise FramingError("a header line does not end with CRLF")
     name, colon, value = line[:-2].partition(b":")
     # Parsers disagree on a space before the colon and on folded lines.
     if not colon or not _HEADER_NAME.fullmatch(name):
-        raise FramingError("header line has no valid name")
+        raise FramingError("a header line has no valid name")
     value = value.strip(b" \t")
     if b"\r" in value or b"\n" in value or b"\0" in value:
-        raise FramingError("header value contains CR, LF or NUL")
+        raise FramingError("a header value holds a control character")
     return name.title(), value
 
 
@@ -66,11 +66,11 @@
     length = headers.get(b"Content-Length")
     coding = headers.get(b"Transfer-Encoding")
     if length is not None and coding is not None:
-        raise FramingError("both Content-Length and Transfer-Encoding are present")
+        raise FramingError("both Content-Length and Transfer-Encoding are given")
     if length is not None and not _DIGITS.fullmatch(length):
-        raise FramingError("Content-Length is not a decimal number")
+        raise FramingError("Content-Length is not a number")
     if coding is not None and coding.lower() != b"chunked":
-        raise FramingError("unsupported Transfer-Encoding; only chunked is accepted")
+        raise FramingError("Transfer-Encoding is not chunked")
 
 
 class _StrictChunkReader:
@@ -92,7 +92,7 @@
         line = self._rfile.readline(_MAX_CHUNK_HEADER_BYTES)
         match = _CHUNK_HEADER.fullmatch(line)
         if match is None:
-            raise FramingError("chunk has no valid size")
+            raise FramingError("a chunk has no valid size")
         self._in_trailer = int(match[1], 16) == 0
         return line
 
@@ -100,7 +100,7 @@
         """Read ``size`` bytes of a chunk."""
         data = self._rfile.read(size)
         if len(data) < size:
-            raise FramingError("connection closed within a chunk")
+            raise FramingError("a chunk ended early")
         return data
 
     def close(self) -> None:
@@ -132,10 +132,10 @@
             self.close_connection = True
             return
         if self.response_protocol == "HTTP/1.0" and b"Transfer-Encoding" in self.inheaders:
-            self._refuse("Transfer-Encoding is not allowed in HTTP/1.0")
+            self._refuse("Transfer-Encoding in HTTP/1.0")
             return
         if self.response_protocol == "HTTP/1.1" and b"Host" not in self.inheaders:
-            self._refuse("missing Host header")
+            self._refuse("Host is missing")
             return
         if self.inheaders.get(b"Expect", _CONTINUE).lower() != _CONTINUE:
             self._refuse("Expect is not 100-continue", "417 Expectation Failed")
