--- a/turmerictray/loadtool/experiment.py
+++ b/turmerictray/loadtool/experiment.py
@@ -71,7 +71,7 @@
     utilisation : float
         Busy engine slots over all slots.
     queued : int
-        PendingRequest requests, summed over all routers.
+        Pending requests, summed over all routers.
     control_bytes : float
         Control bytes of all routers since the start of the run, both directions.
     """
--- a/turmerictray/router/request.py
+++ b/turmerictray/router/request.py
@@ -28,7 +28,7 @@
 
     Attributes
     ----------
-    hint : float
+    estimated_cost : float
         Estimated cost in tokens: prompt length in characters over four, plus ``max_tokens``.
     idempotent : bool
         False if the caller sent ``Idempotency-Key`` or the service declares the path, or all its
--- a/turmerictray/simulation/engine.py
+++ b/turmerictray/simulation/engine.py
@@ -20,7 +20,7 @@
     ----------
     on_first, on_done : callable
         Called at the first event of the answer, and when the answer is complete.
-    unread : int
+    unread_tokens : int
         Prompt tokens that have not been prefilled yet.
     tokens_to_generate : int
         Output tokens that have not been generated yet.
@@ -28,7 +28,7 @@
         Virtual time of the last event, in seconds.
     max_pause_s : float
         Longest time between two events so far.
-    gone : bool
+    caller_gone : bool
         Whether the caller has disconnected.
     """
 
