--- a/tests/admission/test_pool_properties.py
+++ b/tests/admission/test_pool_properties.py
@@ -51,15 +51,15 @@
     @rule(
         team=st.sampled_from("abc"),
         subject=st.integers(0, 5),
-        unshared=st.integers(1, 60_000),
+        non_shared=st.integers(1, 60_000),
     )
-    def enqueue(self, team, subject, unshared):
+    def queue_request(self, team, subject, non_shared):
         call_id = next(self.ids)
         parts = (
             PromptPart(PartId(f"s{subject}"), 5000),
-            PromptPart(PartId(f"o{call_id}"), unshared),
+            PromptPart(PartId(f"o{call_id}"), non_shared),
         )
-        prompt = Prompt(parts, 5000 + unshared, 50)
+        prompt = Prompt(parts, 5000 + non_shared, 50)
         context = PlacementContext(call_id, prompt)
         deadline = self.now + OBJECTIVE_S
         pending = PendingRequest(
